--- a/crates/laurelstall_guard/examples/tickets.rs
+++ b/crates/laurelstall_guard/examples/tickets.rs
@@ -1,4 +1,4 @@
-//! A ticket's life: given out, used, and repeated by a caller that lost the answer.
+//! Life cycle of a ticket: issued, used, and used again by a caller that lost the answer.
 //!
 //! Run it with `cargo run -p laurelstall_guard --example tickets`.
 
--- a/crates/laurelstall_guard/src/ask.rs
+++ b/crates/laurelstall_guard/src/ask.rs
@@ -1,84 +1,85 @@
-//! What a call asks of a guard.
+//! What a guard needs to know about a call to admit it.
 
 use laurelstall_balance::class_times::CallClass;
 use laurelstall_config::route::ROUTE_IMPORTANCE_MAX;
 
-/// Steps of importance that a route or a workspace can have.
+/// Number of importance levels of a route or a workspace.
 const IMPORTANCE_STEPS: u8 = ROUTE_IMPORTANCE_MAX + 1;
 
-/// Importance of a call that a running one waits for: above all others', since the work that was done for that one is lost
-/// without it.
+/// Importance of a nested call, which a running call waits for. It is above that of all other calls, because
+/// the work already done for the running call is lost if the nested one fails.
 pub const AWAITED_IMPORTANCE: u8 = IMPORTANCE_STEPS * IMPORTANCE_STEPS;
 
-/// Importance of a caller's call: that of its workspace comes first, then that of its route, each 0 to 9. A call whose
-/// workspace names none counts by its route at both.
+/// Combines the importance of a workspace and of a route, each 0 to 9, into that of a call; the workspace's
+/// decides first. A call whose workspace sets none uses the importance of its route for both.
 pub fn call_importance(workspace: Option<u8>, route: u8) -> u8 {
     let route = route.min(ROUTE_IMPORTANCE_MAX);
     let workspace = workspace.map_or(route, |importance| importance.min(ROUTE_IMPORTANCE_MAX));
     workspace * IMPORTANCE_STEPS + route
 }
 
-/// Whose call it is, as far as a busy target is shared between workspaces.
+/// The workspace that a call counts for when a busy target is shared fairly between workspaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sharer {
-    /// Hash of the workspace's name; 0 for calls of none.
+    /// Hash of the workspace's name; 0 for calls without a workspace.
     pub id: u64,
-    /// Its part of the target, relative to the others.
+    /// Weight of the workspace's share of the target, relative to other workspaces.
     pub weight: u32,
 }
 
 impl Sharer {
-    /// Whoever brings calls of no workspace.
+    /// The share of all calls without a workspace.
     pub const NOBODY: Self = Self { id: 0, weight: 1 };
 }
 
-/// What a call asks of a guard.
+/// What a guard needs to know about a call to admit it.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask {
-    /// How much the call matters.
+    /// Priority of the call in the queue.
     pub rank: Rank,
-    /// Whose it is.
+    /// The workspace that the call counts for.
     pub sharer: Sharer,
-    /// The class of the call.
+    /// Class of the call; calls of one class take about the same time.
     pub class: CallClass,
-    /// When the call must be done, in µs of the guard's clock.
+    /// Deadline of the call, in µs of the guard's clock.
     pub deadline_us: u64,
-    /// Until when its answer has its full worth, in µs of the guard's clock; at most the deadline.
+    /// End of the time in which an answer meets the latency objective, in µs of the guard's clock; at most
+    /// the deadline.
     pub useful_until_us: u64,
-    /// How much time that was when the call came, in µs.
+    /// Time from the call's arrival to `useful_until_us`, in µs.
     pub useful_us: u64,
-    /// Whether the call may be handed back while it waits.
+    /// Whether the call may be handed back to its entry while it waits, so that the entry can try another
+    /// target.
     pub may_hand_back: bool,
-    /// Times it was handed back before; each doubles its patience.
+    /// How often the call was handed back before; each time doubles the delay before the next hand-back.
     pub hand_backs: u32,
-    /// Slowness of the target from which the call is refused, in percent of the usual, since it has another
-    /// choice; none when it has none.
+    /// Slowness of the target, in percent of the usual, from which the call is refused because another target
+    /// may be faster; `None` when there is no other target.
     pub slow_from_percent: Option<u32>,
 }
 
-/// How much a call matters beside others.
+/// Priority of a call, compared field by field.
 ///
-/// Of two calls of the same importance the one goes first whose workspace has no more calls here than its part. Then the
-/// one that its caller tries for the first time: its answer still has its full worth, and a caller that was refused once
-/// has seen worse already.
+/// Among calls of the same importance, those of workspaces within their share go first, and among these first
+/// attempts go before retries: a first attempt has its whole latency objective left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rank {
-    /// Importance; more goes first.
+    /// Importance; calls with a higher one go first.
     pub importance: u8,
-    /// Whether its workspace has more calls here than its part; the guard finds out by itself.
+    /// Whether the workspace has more calls at this guard than its share; set by the guard on admission.
     pub is_over_share: bool,
-    /// Whether the call comes back after an earlier attempt of its caller.
+    /// Whether the call is a retry after an earlier attempt of its caller.
     pub is_return: bool,
 }
 
 impl Rank {
-    /// The rank of a call whose workspace has no more than its part.
+    /// Creates the rank of a call whose workspace is within its share.
     pub fn new(importance: u8, is_return: bool) -> Self {
         Self { importance, is_over_share: false, is_return }
     }
 
-    /// Whether a running call waits for this one.
-    pub fn is_awaited(&self) -> bool {
+    /// Whether this is a nested call, which a running call waits for.
+    pub fn is_nested(&self) -> bool {
         self.importance >= AWAITED_IMPORTANCE
     }
 }
--- a/crates/laurelstall_guard/src/cold_bound.rs
+++ b/crates/laurelstall_guard/src/cold_bound.rs
@@ -1,269 +1,273 @@
-//! How many calls a target gets while it is cold.
+//! Limits the rate of calls to a target that is in its cold start.
 //!
-//! The load pattern: after a start, a loss of power or an evacuation a target works slowly for some seconds and bears
-//! a stated number of calls in any second; above that it fails and has to start anew. Short calls pass that bound
-//! long before they fill the target's slots, and all callers come at once. The guard sees every call to its target, so
-//! it keeps the bound by what it has sent, whatever it believes of the target.
+//! After a start, a power loss or an evacuation a target works slowly for some seconds and survives only a
+//! configured number of calls per second; above that it crashes and has to start again. Short calls pass that
+//! rate long before they fill the target's slots. The guard sees every call to its target, so it enforces the
+//! limit on what it has sent, whatever the state of the target is thought to be.
 
 use std::collections::VecDeque;
 
-/// Span in which calls are counted, in µs: a second, and a tenth for calls that take unequally long from the guard to
-/// the target, as on a host that has used up its share of a processor.
-const SPAN_US: u64 = 1_100_000;
-/// Part of the stated bound that is used: what a guard sent just before it was killed, or the target counts at another
-/// instant, finds room in the rest.
-const USED_PART: f64 = 0.94;
-/// Part of the bound that may be used on a word that the target is warm, before it is asked anew: the answer comes
-/// while the rest is used.
-const ASKED_FROM_PART: f64 = 0.5;
-/// How much sooner than the guard its target must have turned cold for an earlier process of the guard to have sent it
-/// calls since, in µs: a process that was killed is started again after longer, and where both start with their host,
-/// they start within some ms of each other.
+/// Length of the sliding window in which calls are counted, in µs: a second, and a tenth for differences in
+/// the time that calls take from the guard to the target.
+const WINDOW_US: u64 = 1_100_000;
+/// Share of the configured limit that is used. The rest absorbs calls that an earlier guard process sent just
+/// before it was killed, and calls that the target counts at a slightly different time.
+const USED_SHARE: f64 = 0.94;
+/// Share of the limit that may be used on one report that the target is warm before the target is queried
+/// again; the reply arrives while the rest is used.
+const QUERY_SHARE: f64 = 0.5;
+/// If the target turned cold longer than this before the guard started, in µs, an earlier process of the
+/// guard may have sent it calls since. A killed process is restarted later than this; a target that starts
+/// with its host starts within some ms of the guard.
 const EARLIER_PROCESS_US: u64 = 100_000;
-/// How long a target is given to answer the first question after a start of the guard, in µs: calls wait for it.
-const FIRST_WORD_US: u64 = 20_000;
-/// How much longer than it says a target is taken for cold, in µs: its word is rounded, and some ms old.
+/// Time that calls wait for the reply to the first query after a start of the guard, in µs.
+const FIRST_REPORT_US: u64 = 20_000;
+/// Added to the remaining cold time that a target reports, in µs, because the report is rounded and some ms
+/// old.
 const COLD_MARGIN_US: u64 = 50_000;
-/// Part of the bound that calls which nobody waits for leave free, where calls that running ones wait for came within the
-/// span: else a flood of the former keeps all of it taken, and what was done for the latter is lost. Of 121 such calls in
-/// ten seconds 102 find a place at once, 4 when first come is first served (`tests/cold_bound.rs`).
-const FREE_PART: f64 = 0.1;
-/// Part of the bound that is left to calls which nobody waits for where the others would use it up, so that no kind of
-/// call is starved.
-const LEAST_PART: f64 = 0.2;
+/// Share of the limit that other calls leave free while nested calls were sent within the window, so that a
+/// flood of other calls does not starve nested ones.
+const NESTED_SHARE: f64 = 0.1;
+/// Share of the limit that nested calls leave to other calls, so that neither kind is starved.
+const OTHERS_SHARE_MIN: f64 = 0.2;
 
 /// A call that was sent to the target.
 #[derive(Debug, Clone, Copy)]
 struct Sent {
     at_us: u64,
-    /// Whether a running call waits for it.
-    is_awaited: bool,
+    /// Whether it is a nested call, which a running call waits for.
+    is_nested: bool,
 }
 
 impl Sent {
-    fn is_recent(&self, now_us: u64) -> bool {
-        now_us.saturating_sub(self.at_us) < SPAN_US
+    fn is_in_window(&self, now_us: u64) -> bool {
+        now_us.saturating_sub(self.at_us) < WINDOW_US
     }
 }
 
-/// The target's own word on how long it is cold.
+/// What the target reported about its cold start.
 #[derive(Debug, Clone, Copy)]
-struct ColdWord {
-    /// From when on calls go by it, in µs of the guard's clock: it was asked for then, or the target was to turn warm.
+struct ColdReport {
+    /// Calls sent from this time on, in µs of the guard's clock, rely on the report: when it was requested,
+    /// or when a cold target was to be warm.
     since_us: u64,
-    /// Until when the target is cold; in the past for a warm one.
+    /// End of the cold start, in µs of the guard's clock; in the past for a warm target.
     until_us: u64,
 }
 
-/// What a guard sends to its target within a second, as long as nothing says that the target is warm.
+/// Sliding-window limit on the calls that a target gets while it is not known to be warm.
 ///
-/// Nobody has to know that a target is cold for the bound to hold. More than the bound is sent only on a word of the
-/// target that it is warm, and on one word no more calls than the bound: if the target turns cold right after it, these
-/// are all that it gets before the span counts.
-///
-/// After a loss of all power, targets got 33 to 40 calls in a second where 32 are allowed, and 8 to 15 of them failed in a
-/// day; with the bound none did (one run each of three days).
+/// The limit holds without anyone noticing the cold start. It is exceeded only after the target reported that
+/// it is warm, and by no more calls per report than the limit itself: if the target turns cold right after a
+/// report, these are all that it gets before the window counts.
 #[derive(Debug, Clone, Default)]
-pub struct ColdBound {
-    /// Most calls within [`SPAN_US`]; none when nothing bounds them.
+pub struct ColdStartLimiter {
+    /// Maximum number of calls within [`WINDOW_US`]; `None` when there is no limit.
     calls_max: Option<usize>,
-    /// When the guard started, in µs of its clock.
+    /// Start of the guard, in µs of its clock.
     started_us: u64,
-    /// How long a target is cold after a start, in µs; 0 when nothing says so.
+    /// How long a target is cold after a start, in µs; 0 when it is not configured.
     cold_start_us: u64,
-    /// Whether the target was asked since the start, whether it answered or not.
-    was_asked: bool,
-    word: Option<ColdWord>,
-    /// Until when the published list says that the target is cold, in µs of the guard's clock.
+    /// Whether the target was queried since the start of the guard, with or without a reply.
+    was_queried: bool,
+    report: Option<ColdReport>,
+    /// End of the cold start by the published target list, in µs of the guard's clock.
     listed_until_us: u64,
-    /// Whether the target can be asked; else the list's word has to do.
-    can_ask: bool,
-    /// Calls that have their place and were not sent yet.
+    /// Whether the target can be queried; otherwise only the published list counts.
+    can_query: bool,
+    /// Number of calls that have reserved capacity and are not sent yet.
     reserved: usize,
-    /// Calls that were sent, the newest last.
+    /// Calls that were sent, newest last.
     sent: VecDeque<Sent>,
 }
 
-impl ColdBound {
-    /// A bound that does not hold before it is set, for a guard that starts now.
+impl ColdStartLimiter {
+    /// Creates a limiter without a limit for a guard that starts now.
     pub fn new(started_us: u64) -> Self {
         Self { started_us, ..Self::default() }
     }
 
-    /// Sets how many calls a cold target may get within any second, 0 when nothing bounds them, and how long it is cold
-    /// after a start, in ms, 0 when nothing says so.
+    /// Sets the maximum number of calls within any second (0 for no limit) and how long a target is cold
+    /// after a start, in ms (0 when it is not configured).
     ///
-    /// An earlier process of the guard may have used up the bound just before this one started; that counts until the
-    /// target's first word shows that it cannot be.
+    /// An earlier process of the guard may have used up the limit just before this one started. This is
+    /// assumed until the target's first report rules it out.
     pub fn set_limits(&mut self, calls_per_s: u32, cold_start_ms: u64) {
         let was_bounded = self.calls_max.is_some();
-        let calls = ((f64::from(calls_per_s) * USED_PART) as usize).max(1);
+        let calls = ((f64::from(calls_per_s) * USED_SHARE) as usize).max(1);
         self.calls_max = (calls_per_s > 0).then_some(calls);
         self.cold_start_us = cold_start_ms * 1_000;
-        if !was_bounded && !self.was_asked && calls_per_s > 0 {
-            self.sent = vec![Sent { at_us: self.started_us, is_awaited: false }; calls].into();
+        if !was_bounded && !self.was_queried && calls_per_s > 0 {
+            self.sent = vec![Sent { at_us: self.started_us, is_nested: false }; calls].into();
         }
     }
 
-    /// Says whether the target can be asked how long it is cold.
-    pub fn set_can_ask(&mut self, can_ask: bool) {
-        self.can_ask = can_ask;
+    /// Sets whether the target can be queried about its cold start.
+    pub fn set_can_query(&mut self, can_query: bool) {
+        self.can_query = can_query;
     }
 
-    /// Takes the target's own word, asked for at `asked_us`: it is cold for so much longer, in µs; 0 when it is warm.
-    pub fn note_word(&mut self, cold_left_us: u64, asked_us: u64, now_us: u64) {
+    /// Records the target's report, requested at `queried_us`: it stays cold for `cold_left_us` µs, 0 when it
+    /// is warm.
+    pub fn note_report(&mut self, cold_left_us: u64, queried_us: u64, now_us: u64) {
         let margin_us = if cold_left_us > 0 { COLD_MARGIN_US } else { 0 };
         let until_us = now_us + cold_left_us + margin_us;
-        if !self.was_asked && self.turned_cold_with_the_guard(cold_left_us, now_us) {
+        if !self.was_queried && self.turned_cold_at_start(cold_left_us, now_us) {
             self.sent.retain(|sent| sent.at_us != self.started_us);
         }
-        self.was_asked = true;
-        let since_us = if cold_left_us > 0 { until_us } else { asked_us };
-        self.word = Some(ColdWord { since_us, until_us });
+        self.was_queried = true;
+        let since_us = if cold_left_us > 0 { until_us } else { queried_us };
+        self.report = Some(ColdReport { since_us, until_us });
         self.listed_until_us = 0;
     }
 
-    /// Notes that the target was asked and said nothing.
-    pub fn note_silence(&mut self) {
-        self.was_asked = true;
+    /// Records that the target was queried and did not report.
+    pub fn note_no_reply(&mut self) {
+        self.was_queried = true;
     }
 
-    /// Takes the word of the published list, which may be seconds old: the target is asked before it gets more than
-    /// the bound.
+    /// Records the remaining cold time from the published list, which may be seconds old; the target is
+    /// queried again before it gets more calls than the limit.
     pub fn note_listed(&mut self, cold_left_us: u64, now_us: u64) {
         if cold_left_us > 0 {
             self.listed_until_us = now_us + cold_left_us;
-            self.forget_word();
+            self.forget_report();
         }
     }
 
-    /// Forgets what the target said: it may be another one, or have turned cold.
-    pub fn forget_word(&mut self) {
-        self.word = None;
+    /// Discards the target's report, because the instance may have changed or turned cold.
+    pub fn forget_report(&mut self) {
+        self.report = None;
     }
 
-    /// Whether a call may go to the target now, as far as the bound says; `is_awaited` when a running call waits for it.
-    pub fn has_place(&self, is_awaited: bool, now_us: u64) -> bool {
+    /// Returns whether the limit lets one more call through now.
+    pub fn has_capacity(&self, is_nested: bool, now_us: u64) -> bool {
         let Some(calls_max) = self.calls_max else { return true };
-        if self.is_surely_warm(now_us) {
+        if self.is_known_warm(now_us) {
             return true;
         }
         let used = self.used(now_us);
-        let are_others_owed = self.others(now_us) < (calls_max as f64 * LEAST_PART) as usize;
-        let kept = match is_awaited {
-            true => usize::from(are_others_owed),
-            false if are_others_owed => 0,
-            false => self.kept_free(calls_max, now_us),
+        let are_others_below_share =
+            self.other_calls(now_us) < (calls_max as f64 * OTHERS_SHARE_MIN) as usize;
+        let kept = match is_nested {
+            true => usize::from(are_others_below_share),
+            false if are_others_below_share => 0,
+            false => self.kept_for_nested(calls_max, now_us),
         };
         used + kept < calls_max
     }
 
-    /// When a call before which so many others go could be sent, in µs; now when the bound does not hold it up.
-    pub fn place_us(&self, is_awaited: bool, ahead: usize, now_us: u64) -> u64 {
+    /// Returns when a call with `ahead` calls before it could be sent, in µs; `now_us` when the limit does
+    /// not delay it.
+    pub fn next_send_us(&self, is_nested: bool, ahead: usize, now_us: u64) -> u64 {
         let Some(calls_max) = self.calls_max else { return now_us };
-        if self.is_surely_warm(now_us) {
+        if self.is_known_warm(now_us) {
             return now_us;
         }
-        if !self.was_asked && self.can_ask {
-            return now_us + FIRST_WORD_US;
+        if !self.was_queried && self.can_query {
+            return now_us + FIRST_REPORT_US;
         }
-        let kept = if is_awaited { 0 } else { self.kept_free(calls_max, now_us) };
-        let Some(late) =
-            (self.used(now_us) + kept + ahead + 1).checked_sub(calls_max).filter(|late| *late > 0)
+        let kept = if is_nested { 0 } else { self.kept_for_nested(calls_max, now_us) };
+        let Some(excess) =
+            (self.used(now_us) + kept + ahead + 1).checked_sub(calls_max).filter(|excess| *excess > 0)
         else {
             return now_us;
         };
-        let waves = (late - 1) / calls_max;
-        let place = (late - 1) % calls_max;
-        let mut recent = self.sent.iter().filter(|sent| sent.is_recent(now_us));
-        // Calls that are not sent yet are taken to be sent now.
-        let sent_us = recent.nth(place).map_or(now_us, |sent| sent.at_us);
-        let place_us = sent_us + SPAN_US * (waves as u64 + 1);
-        if self.is_cold(now_us) { place_us.min(self.cold_until_us().max(now_us)) } else { place_us }
+        let windows = (excess - 1) / calls_max;
+        let index = (excess - 1) % calls_max;
+        let mut recent = self.sent.iter().filter(|sent| sent.is_in_window(now_us));
+        // Reserved calls are counted as sent now.
+        let sent_us = recent.nth(index).map_or(now_us, |sent| sent.at_us);
+        let send_us = sent_us + WINDOW_US * (windows as u64 + 1);
+        if self.is_cold(now_us) { send_us.min(self.cold_until_us().max(now_us)) } else { send_us }
     }
 
-    /// Calls a second that the bound lets through; none when it does not hold them up.
+    /// Returns the calls per second that the limit lets through; `None` when the target is not known to be
+    /// cold.
     pub fn calls_per_s(&self, now_us: u64) -> Option<f64> {
         let calls_max = self.calls_max.filter(|_| self.is_cold(now_us))?;
-        Some(calls_max as f64 * 1e6 / SPAN_US as f64)
+        Some(calls_max as f64 * 1e6 / WINDOW_US as f64)
     }
 
-    /// Whether the target is to be asked how long it is cold: it is about to get more than a cold one may.
-    pub fn is_word_wanted(&self, now_us: u64) -> bool {
-        let Some(calls_max) = self.calls_max.filter(|_| self.can_ask) else { return false };
-        match self.word {
+    /// Returns whether the target has to be queried because it is about to get more calls than a cold one
+    /// may.
+    pub fn needs_report(&self, now_us: u64) -> bool {
+        let Some(calls_max) = self.calls_max.filter(|_| self.can_query) else { return false };
+        match self.report {
             None => true,
-            Some(word) if now_us < word.until_us => false,
-            Some(word) => {
-                let from = ASKED_FROM_PART * calls_max as f64;
-                self.sent_on(word) as f64 >= from && self.used(now_us) as f64 >= from
+            Some(report) if now_us < report.until_us => false,
+            Some(report) => {
+                let query_from = QUERY_SHARE * calls_max as f64;
+                self.sent_since_report(report) as f64 >= query_from && self.used(now_us) as f64 >= query_from
             }
         }
     }
 
-    /// Whether the target is known to be cold.
+    /// Returns whether the target is known to be cold.
     pub fn is_cold(&self, now_us: u64) -> bool {
         self.calls_max.is_some() && now_us < self.cold_until_us()
     }
 
-    /// Gives a call its place; it is sent soon, or not at all.
+    /// Reserves capacity for a call that is sent soon or given up.
     pub fn reserve(&mut self) {
         self.reserved += 1;
     }
 
-    /// Notes that a call which has its place is sent now.
-    pub fn note_sent(&mut self, is_awaited: bool, now_us: u64) {
+    /// Records that a call with reserved capacity is sent now.
+    pub fn note_sent(&mut self, is_nested: bool, now_us: u64) {
         self.reserved = self.reserved.saturating_sub(1);
         let Some(calls_max) = self.calls_max else { return };
-        self.sent.push_back(Sent { at_us: now_us, is_awaited });
+        self.sent.push_back(Sent { at_us: now_us, is_nested });
         if self.sent.len() > calls_max {
             self.sent.pop_front();
         }
     }
 
-    /// Takes back the place of a call that was not sent.
+    /// Releases the reserved capacity of a call that was not sent.
     pub fn release_unsent(&mut self) {
         self.reserved = self.reserved.saturating_sub(1);
     }
 
-    /// Whether the target, cold for so much longer, turned cold when the guard started and not before.
-    fn turned_cold_with_the_guard(&self, cold_left_us: u64, now_us: u64) -> bool {
+    /// Returns whether a target that stays cold for `cold_left_us` turned cold at the start of the guard and
+    /// not before.
+    fn turned_cold_at_start(&self, cold_left_us: u64, now_us: u64) -> bool {
         let lasted_us = self.cold_start_us.checked_sub(cold_left_us);
         let since_us = lasted_us.map(|lasted_us| now_us.saturating_sub(lasted_us));
         cold_left_us > 0 && since_us.is_some_and(|since_us| since_us + EARLIER_PROCESS_US >= self.started_us)
     }
 
     fn cold_until_us(&self) -> u64 {
-        self.word.map_or(self.listed_until_us, |word| word.until_us)
+        self.report.map_or(self.listed_until_us, |report| report.until_us)
     }
 
-    /// Whether the target is warm and may get one more call on its word.
-    fn is_surely_warm(&self, now_us: u64) -> bool {
+    /// Returns whether the target reported that it is warm and one more call may rely on that report.
+    fn is_known_warm(&self, now_us: u64) -> bool {
         let Some(calls_max) = self.calls_max else { return true };
-        if !self.can_ask {
+        if !self.can_query {
             return now_us >= self.listed_until_us;
         }
-        self.word.is_some_and(|word| now_us >= word.until_us && self.sent_on(word) < calls_max)
+        self.report
+            .is_some_and(|report| now_us >= report.until_us && self.sent_since_report(report) < calls_max)
     }
 
-    /// Calls that go by a word, those that are about to be sent included.
-    fn sent_on(&self, word: ColdWord) -> usize {
-        self.reserved + self.sent.iter().filter(|sent| sent.at_us >= word.since_us).count()
+    /// Counts the calls that rely on `report`, including reserved ones.
+    fn sent_since_report(&self, report: ColdReport) -> usize {
+        self.reserved + self.sent.iter().filter(|sent| sent.at_us >= report.since_us).count()
     }
 
-    /// Places that calls which nobody waits for leave free.
-    fn kept_free(&self, calls_max: usize, now_us: u64) -> usize {
-        let is_wanted = self.sent.iter().any(|sent| sent.is_awaited && sent.is_recent(now_us));
-        if is_wanted { (calls_max as f64 * FREE_PART) as usize } else { 0 }
+    /// Returns the capacity that other calls leave free for nested ones.
+    fn kept_for_nested(&self, calls_max: usize, now_us: u64) -> usize {
+        let are_nested_recent = self.sent.iter().any(|sent| sent.is_nested && sent.is_in_window(now_us));
+        if are_nested_recent { (calls_max as f64 * NESTED_SHARE) as usize } else { 0 }
     }
 
-    /// Places that are taken: calls that are about to be sent, and those sent within the span.
+    /// Counts reserved calls and those sent within the window.
     fn used(&self, now_us: u64) -> usize {
-        self.reserved + self.sent.iter().filter(|sent| sent.is_recent(now_us)).count()
+        self.reserved + self.sent.iter().filter(|sent| sent.is_in_window(now_us)).count()
     }
 
-    /// Calls that nobody waits for and that were sent within the span.
-    fn others(&self, now_us: u64) -> usize {
-        self.sent.iter().filter(|sent| !sent.is_awaited && sent.is_recent(now_us)).count()
+    /// Counts the calls sent within the window that are not nested.
+    fn other_calls(&self, now_us: u64) -> usize {
+        self.sent.iter().filter(|sent| !sent.is_nested && sent.is_in_window(now_us)).count()
     }
 }
--- a/crates/laurelstall_guard/src/guard/waiting.rs
+++ b/crates/laurelstall_guard/src/guard/waiting.rs
@@ -1,43 +1,43 @@
-//! Calls that wait at a guard.
+//! Calls in the queue of a guard.
 
 use super::permit::Permit;
-use crate::wait_queue::{Place, Wake};
+use crate::wait_queue::{QueueKey, Wake};
 use std::sync::Arc;
 use tokio::{sync::oneshot, time::Instant};
 
-/// What became of a call that asked for a slot.
-pub(super) enum Entered {
-    /// It runs.
+/// Result of asking for a slot.
+pub(super) enum StartOrWait {
+    /// The call runs.
     Running(Permit),
-    /// It waits.
+    /// The call is queued.
     Waiting(Wait),
 }
 
-/// A wait for a slot.
+/// A queued call with its timeout.
 pub(super) struct Wait {
     pub(super) waiting: Waiting,
-    /// When the call gives up waiting.
+    /// When the call leaves the queue if it was not woken.
     pub(super) until: Instant,
-    /// Whether it is handed back then.
-    pub(super) is_patience: bool,
+    /// Whether it is handed back at that time, rather than refused.
+    pub(super) hands_back: bool,
 }
 
-/// Whoever holds the queue that a call waits in.
+/// The owner of the queue that a call waits in.
 pub(super) trait QueueOwner: Send + Sync {
-    /// Takes a call out that gave up waiting; false when it was woken already.
-    fn remove(&self, place: &Place) -> bool;
+    /// Removes a call that stopped waiting; returns false when it was woken already.
+    fn remove(&self, key: &QueueKey) -> bool;
 
-    /// Gives back a slot that was reserved for a woken call which is gone.
+    /// Releases a slot that was reserved for a woken call which has been dropped.
     fn release_reserved(&self);
 
-    /// Tells whoever waits for it that nothing runs and nothing waits, if that is so.
+    /// Notifies waiters for an idle guard if no call runs or waits.
     fn notify_if_idle(&self);
 }
 
-/// A call in the queue; dropping it takes it out, or gives back a slot it was woken for.
+/// A call in the queue; dropping it removes it, or releases the slot it was woken for.
 pub(super) struct Waiting {
     pub(super) owner: Arc<dyn QueueOwner>,
-    pub(super) place: Place,
+    pub(super) key: QueueKey,
     pub(super) woken: oneshot::Receiver<Wake>,
     pub(super) is_in_queue: bool,
 }
@@ -47,7 +47,7 @@
         if !self.is_in_queue {
             return;
         }
-        let was_waiting = self.owner.remove(&self.place);
+        let was_waiting = self.owner.remove(&self.key);
         if !was_waiting && self.woken.try_recv() == Ok(Wake::Start) {
             self.owner.release_reserved();
         }
--- a/crates/laurelstall_guard/src/guard_load.rs
+++ b/crates/laurelstall_guard/src/guard_load.rs
@@ -1,19 +1,19 @@
-//! What runs and waits at a guard.
+//! Load of a guard.
 
-/// What runs and waits at this instant.
+/// Calls that run and wait at a guard at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GuardLoad {
-    /// Requests running at the target.
+    /// Number of requests running at the target.
     pub in_flight: u32,
-    /// Requests waiting.
+    /// Number of requests in the queue.
     pub queued: u32,
-    /// Requests that may run at once now.
+    /// Number of requests that may run at once now.
     pub limit: u32,
-    /// Recent service time at the usual pace in µs, or the age of the oldest running call over 2 if
+    /// Recent service time at the target's usual speed, in µs, or half the age of the oldest running call if
     /// that is more.
     pub service_us: u32,
     /// How long work takes now, in percent of the usual.
     pub slowness_percent: u32,
-    /// Whether the guard takes nothing new.
+    /// Whether the guard is draining and admits no new calls.
     pub is_draining: bool,
 }
--- a/crates/laurelstall_guard/src/ledger.rs
+++ b/crates/laurelstall_guard/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What became of each ticket that this guard gave out.
+//! Outcome of each ticket that a guard issued.
 
 use bytes::Bytes;
 use std::{
@@ -7,49 +7,49 @@
 };
 use tokio::sync::watch;
 
-/// An answer kept for repeats of a ticket.
+/// A stored answer, returned when the ticket is used again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeptAnswer {
     /// HTTP status.
     pub status: u16,
     /// Headers, names in lower case.
     pub headers: Vec<(String, Bytes)>,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// What became of a ticket that was used.
+/// State of a ticket that was used.
 #[derive(Debug, Clone)]
 enum Entry {
-    /// Its call runs or waits for a slot.
+    /// The call runs or waits for a slot; the receiver changes when it ends. The number identifies the run.
     Running(watch::Receiver<bool>, u64),
-    /// Its call was answered and the answer is kept.
+    /// The call was answered and the answer is stored.
     Answered(Arc<KeptAnswer>),
-    /// Its call ran or may have run, and no answer is kept.
-    Spent,
-    /// Its call was refused before it ran; the ticket is void and never runs.
+    /// The call ran or may have run, and no answer is stored.
+    OutcomeUnknown,
+    /// The call was refused before it ran; the ticket is void and never runs.
     Void,
 }
 
-/// What to do with a call that brings a ticket.
+/// How to handle a call that brings a ticket.
 #[derive(Debug)]
 pub enum Begin {
-    /// First use: run it, and end the run with this.
+    /// First use: the call has to be run, and the token ended with one of the `end_*` methods.
     Run(RunToken),
-    /// It was answered: this is the answer.
+    /// The call was answered before; this is the stored answer.
     Kept(Arc<KeptAnswer>),
-    /// It runs now: wait until this changes, then ask again.
+    /// The call is running: wait until the receiver changes, then look the ticket up again.
     Wait(watch::Receiver<bool>),
-    /// It ran, or may have: nobody can tell with what answer.
+    /// The call ran or may have run; its answer is not known.
     Unknown,
-    /// It was refused before it ran and can never run: proved *not run*.
+    /// The call was refused before it ran and never will: it is proved *not run*.
     NotRun,
-    /// The ticket was never given out here, or its lifetime is over, or it is of an earlier
-    /// start of this guard: it is not run, but may have run before.
+    /// The ticket was not issued here, has expired, or was issued before the guard's last restart: the call
+    /// is not run now, but may have run before.
     Foreign,
 }
 
-/// The first use of a ticket, to be ended in one of three ways.
+/// The first use of a ticket; ended by exactly one of the `end_*` methods of [`Ledger`].
 #[derive(Debug)]
 pub struct RunToken {
     number: u64,
@@ -64,10 +64,10 @@
     expires_us: u64,
 }
 
-/// A bounded record of tickets and what became of them.
+/// A bounded record of issued tickets and their outcomes.
 ///
-/// A ticket leaves the record only when its lifetime is over, and a ticket without a record is
-/// never run, so forgetting is always safe.
+/// A ticket is removed only when it expires, and a ticket without a record is never run, so removal is always
+/// safe.
 #[derive(Debug)]
 pub struct Ledger {
     incarnation: u64,
@@ -80,13 +80,13 @@
     kept_bytes: usize,
 }
 
-/// Most bytes of kept answers in one ledger.
+/// Maximum size of all stored answers of one ledger, in bytes.
 pub const KEPT_BYTES_MAX: usize = 16 * 1024 * 1024;
-/// Most tickets given out at once.
+/// Maximum number of tickets issued at once.
 pub const BATCH_MAX: u32 = 1_000;
 
 impl Ledger {
-    /// An empty ledger of a guard that started as `incarnation`.
+    /// Creates an empty ledger for a guard that started as `incarnation`.
     pub fn new(incarnation: u64, tickets_max: usize) -> Self {
         Self {
             incarnation,
@@ -100,29 +100,31 @@
         }
     }
 
-    /// Changes how many tickets may be open.
+    /// Sets the maximum number of open tickets.
     pub fn set_tickets_max(&mut self, tickets_max: usize) {
         self.tickets_max = tickets_max;
     }
 
-    /// Gives out up to `count` tickets with consecutive numbers; the first number and how many.
+    /// Issues up to `count` tickets with consecutive numbers; returns the first number and how many were
+    /// issued.
     pub fn give(&mut self, count: u32, lifetime_us: u64, now_us: u64) -> (u64, u32) {
         self.expire(now_us);
-        let room = self.tickets_max.saturating_sub(self.open).min(BATCH_MAX as usize) as u32;
-        let count = count.min(room);
+        let available = self.tickets_max.saturating_sub(self.open).min(BATCH_MAX as usize) as u32;
+        let count = count.min(available);
         let first = self.next_number;
         if count > 0 {
             self.next_number += u64::from(count);
             self.open += count as usize;
             let batch = Batch { first, end: self.next_number, expires_us: now_us + lifetime_us };
-            // Kept in order of expiry even when the lifetime is changed in between.
+            // Batches are sorted by expiry even if the lifetime changed in between.
             let at = self.batches.partition_point(|other| other.expires_us <= batch.expires_us);
             self.batches.insert(at, batch);
         }
         (first, count)
     }
 
-    /// Starts a call that brings ticket `number` of `incarnation`.
+    /// Looks up ticket `number` of `incarnation` for a call that brings it, and marks it as running on its
+    /// first use.
     pub fn begin(&mut self, incarnation: u64, number: u64, now_us: u64) -> Begin {
         self.expire(now_us);
         let is_known = self.batches.iter().any(|batch| (batch.first..batch.end).contains(&number));
@@ -133,12 +135,12 @@
             None => Begin::Run(self.start(number)),
             Some(Entry::Running(done, _)) => Begin::Wait(done.clone()),
             Some(Entry::Answered(answer)) => Begin::Kept(answer.clone()),
-            Some(Entry::Spent) => Begin::Unknown,
+            Some(Entry::OutcomeUnknown) => Begin::Unknown,
             Some(Entry::Void) => Begin::NotRun,
         }
     }
 
-    /// Ends a run that was answered; the answer is kept if it is given and there is room.
+    /// Ends a run that was answered; stores the answer if one is passed and there is room for it.
     pub fn end_answered(&mut self, token: RunToken, answer: Option<KeptAnswer>) {
         let kept = answer.filter(|answer| self.kept_bytes + answer.body.len() <= KEPT_BYTES_MAX);
         let entry = match kept {
@@ -146,30 +148,29 @@
                 self.kept_bytes += answer.body.len();
                 Entry::Answered(Arc::new(answer))
             }
-            None => Entry::Spent,
+            None => Entry::OutcomeUnknown,
         };
         self.end(token, entry);
     }
 
-    /// Ends a run whose outcome nobody knows.
+    /// Ends a run with an unknown outcome.
     pub fn end_unknown(&mut self, token: RunToken) {
-        self.end(token, Entry::Spent);
+        self.end(token, Entry::OutcomeUnknown);
     }
 
-    /// Ends a run that was refused before the target saw a byte: the ticket is void.
+    /// Ends a run that was refused before any byte reached the target, and voids the ticket.
     ///
-    /// It must not run later, since its caller is told *not run*: an earlier copy of the same
-    /// call may still be on its way here.
+    /// The caller is told *not run*, so a delayed copy of the same call must not run later.
     pub fn end_not_run(&mut self, token: RunToken) {
         self.end(token, Entry::Void);
     }
 
-    /// Tickets given out and not expired.
+    /// Returns the number of issued tickets that have not expired.
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// The guard's start.
+    /// Returns the incarnation of the guard, which identifies its start.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -185,7 +186,7 @@
     fn end(&mut self, token: RunToken, entry: Entry) {
         let is_own =
             matches!(self.entries.get(&token.number), Some(Entry::Running(_, run)) if *run == token.run);
-        // An expired ticket has no record any more and gets none.
+        // An expired ticket has no record and gets no new one.
         if is_own {
             self.entries.insert(token.number, entry);
         } else if let Entry::Answered(answer) = &entry {
--- a/crates/laurelstall_guard/src/lib.rs
+++ b/crates/laurelstall_guard/src/lib.rs
@@ -1,8 +1,8 @@
-//! The guard's decisions: what reaches its own target, when, and at most how often.
+//! Admission control of one target: which requests reach it, when, and how many at once.
 //!
-//! A guard is the only way to its target, so it knows exactly what runs there at this instant.
-//! It admits a call, lets it wait for a bounded time, hands it back, or refuses it; until it
-//! admits one, the target has not seen a byte of it, and the guard can prove that it did not run.
+//! Every request to a target goes through its guard, which therefore knows exactly what runs there. It admits
+//! a call, queues it for a bounded time, hands it back to its entry, or refuses it. Until it admits a call,
+//! no byte of it has reached the target, so a refusal proves that the call did not run.
 
 pub mod ask;
 pub mod clock;
@@ -22,7 +22,7 @@
 pub mod ticket;
 pub mod wait_queue;
 
-/// The types most callers need.
+/// The types that most users of this crate need.
 pub mod prelude {
     pub use crate::{
         ask::{Ask, Rank, Sharer},
@@ -31,7 +31,7 @@
         guard_limits::GuardLimits,
         guard_load::GuardLoad,
         ledger::{Begin, KeptAnswer, Ledger},
-        limit_search::LimitSearch,
+        limit_search::AdaptiveLimit,
         refusal::{Refusal, RefusalReason},
         ticket::{Ticket, TicketError},
     };
--- a/crates/laurelstall_guard/src/limit_search.rs
+++ b/crates/laurelstall_guard/src/limit_search.rs
@@ -1,41 +1,40 @@
-//! Finds how many calls may run at the target at once so that most get done.
+//! Adaptive concurrency limit: finds how many calls may run at the target at once for the best throughput.
 //!
-//! Many targets work slower for all calls above some share of their slots. Where that knee lies
-//! is found by trials: while calls wait, the limit is another one for a few dozen calls, and stays
-//! so if more gets done. What a trial is held against is measured in the same seconds, so that
-//! whatever else makes calls longer counts on both sides.
+//! Many targets work slower for all calls above some share of their slots. The limit at which this starts is
+//! found by trials: while calls wait, another limit applies for a few dozen calls, and stays if the result is
+//! better. The baseline that a trial is compared with is measured in the same seconds, so that other causes
+//! of longer run times affect both.
 
 use laurelstall_balance::class_times::{CallClass, ClassTimes};
 
-/// Calls that a trial measures.
+/// Number of calls that a trial measures.
 const TRIAL_CALLS: u32 = 32;
-/// Calls after which a trial ends that does much worse than the present limit.
-const HOPELESS_CALLS: u32 = 10;
-/// What much worse is, relative to the present limit.
-const HOPELESS: f64 = 0.9;
-/// Calls at the present limit that must have been measured before a trial.
-const BASE_CALLS_MIN: u32 = 24;
-/// A measurement at the present limit without a new call for so long says nothing, in µs.
-const BASE_AGE_MAX_US: u64 = 2_000_000;
-/// Weight of a new call in the measurement at the present limit.
-const BASE_WEIGHT: f64 = 0.04;
-/// Longest a trial lasts, in µs.
+/// Number of measured calls after which a trial that does much worse than the present limit is aborted.
+const ABORT_CALLS: u32 = 10;
+/// A trial is aborted below this share of the baseline's utility.
+const ABORT_SHARE: f64 = 0.9;
+/// Number of calls that must have been measured at the present limit before a trial starts.
+const BASELINE_CALLS_MIN: u32 = 24;
+/// Time without a new call after which the baseline is discarded, in µs.
+const BASELINE_AGE_MAX_US: u64 = 2_000_000;
+/// Weight of a new call in the moving average of the baseline.
+const BASELINE_WEIGHT: f64 = 0.04;
+/// Maximum duration of a trial, in µs.
 const TRIAL_MAX_US: u64 = 3_000_000;
-/// How much more must get done before another limit is taken.
+/// Utility relative to the baseline's above which the limit of a trial is adopted.
 const GAIN_MIN: f64 = 1.06;
-/// Exponent of concurrency in what a limit is worth: 1 would weigh nothing but how much gets done,
-/// 0 nothing but how soon.
+/// Exponent of concurrency in the utility of a limit: 1 rates throughput only, 0 latency only.
 const CONCURRENCY_EXPONENT: f64 = 0.75;
-/// First and longest pause before a limit that did worse is tried again, in µs.
+/// Pause after the first failed trial of a step, in µs; it doubles with each further failure.
 const PAUSE_FIRST_US: u64 = 10_000_000;
-/// See [`PAUSE_FIRST_US`].
+/// Longest pause after failed trials of a step, in µs.
 const PAUSE_MAX_US: u64 = 64_000_000;
 /// Pause after any trial, in µs.
 const PAUSE_BETWEEN_US: u64 = 500_000;
-/// What the limit falls to, of itself, when the target sheds or takes no connection.
+/// Factor by which the limit falls when the target sheds a request.
 const SHED_FACTOR: f64 = 0.9;
 
-/// The limits that are tried, relative to the present one.
+/// Changes of the limit that are tried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
     Up,
@@ -52,7 +51,7 @@
         matches!(self, Self::Up | Self::QuarterUp)
     }
 
-    fn from(self, limit: u32) -> u32 {
+    fn apply_to(self, limit: u32) -> u32 {
         match self {
             Self::Up => limit + 1,
             Self::QuarterUp => limit + (limit / 4).max(1),
@@ -63,14 +62,14 @@
     }
 }
 
-/// What a run is measured for.
+/// What the run time of a call is a sample of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Measure {
-    /// Nothing: it started while slots were free.
-    Nothing,
-    /// The present limit, in its so many-th measurement.
-    Base(u32),
-    /// A trial, by number.
+pub enum SampleKind {
+    /// Nothing, because the call started while slots were free.
+    Unused,
+    /// The baseline of this number.
+    Baseline(u32),
+    /// The trial of this number.
     Trial(u32),
 }
 
@@ -87,8 +86,8 @@
 }
 
 impl Trial {
-    fn worth(&self) -> f64 {
-        worth(self.limit, self.sum / f64::from(self.counted.max(1)))
+    fn utility(&self) -> f64 {
+        utility(self.limit, self.sum / f64::from(self.counted.max(1)))
     }
 }
 
@@ -99,21 +98,21 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Base {
+struct Baseline {
     number: u32,
     mean: f64,
     calls: u32,
     last_us: u64,
 }
 
-/// The limit on concurrency between a floor and the target's slots.
+/// A concurrency limit that adapts between a floor and the target's slots.
 #[derive(Debug)]
-pub struct LimitSearch {
+pub struct AdaptiveLimit {
     slots: u32,
     floor: u32,
     start: u32,
     limit: u32,
-    base: Base,
+    baseline: Baseline,
     trial: Option<Trial>,
     trials: u32,
     backoffs: [Backoff; STEPS.len()],
@@ -122,18 +121,18 @@
     times: ClassTimes,
 }
 
-impl LimitSearch {
-    /// A limit that starts at `start_percent` of `slots` and never falls below `floor_percent`.
+impl AdaptiveLimit {
+    /// Creates a limit that starts at `start_percent` of `slots` and never falls below `floor_percent`.
     pub fn new(slots: u32, start_percent: u32, floor_percent: u32) -> Self {
         let slots = slots.max(1);
-        let floor = share(slots, floor_percent);
-        let start = share(slots, start_percent).max(floor);
+        let floor = percent_of(slots, floor_percent);
+        let start = percent_of(slots, start_percent).max(floor);
         Self {
             slots,
             floor,
             start,
             limit: start,
-            base: Base::default(),
+            baseline: Baseline::default(),
             trial: None,
             trials: 0,
             backoffs: Default::default(),
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Changes slots, start and floor; what was found stays if the slots do.
+    /// Sets slots, start and floor; the limit is reset only if one of them changes.
     pub fn set_slots(&mut self, slots: u32, start_percent: u32, floor_percent: u32) {
         let fresh = Self::new(slots, start_percent, floor_percent);
         if (fresh.slots, fresh.start, fresh.floor) == (self.slots, self.start, self.floor) {
@@ -153,70 +152,72 @@
         *self = Self { times, trials: self.trials, ..fresh };
     }
 
-    /// Calls that may run at once now.
+    /// Returns how many calls may run at once now.
     pub fn limit(&self) -> u32 {
         self.trial.as_ref().map_or(self.limit, |trial| trial.limit)
     }
 
-    /// The limit without regard to a trial.
+    /// Returns the limit that applies outside of trials.
     pub fn settled(&self) -> u32 {
         self.limit
     }
 
-    /// Run times by class.
+    /// Returns the run times by class of call.
     pub fn times(&self) -> &ClassTimes {
         &self.times
     }
 
-    /// Notes that a call starts; `running` counts it along.
-    pub fn note_start(&mut self, running: u32) -> Measure {
+    /// Records the start of a call; `running` includes it.
+    pub fn note_start(&mut self, running: u32) -> SampleKind {
         if running != self.limit() {
-            return Measure::Nothing;
+            return SampleKind::Unused;
         }
         match &mut self.trial {
-            None => Measure::Base(self.base.number),
+            None => SampleKind::Baseline(self.baseline.number),
             Some(trial) if trial.started < TRIAL_CALLS => {
                 trial.started += 1;
-                Measure::Trial(trial.number)
+                SampleKind::Trial(trial.number)
             }
-            Some(_) => Measure::Nothing,
+            Some(_) => SampleKind::Unused,
         }
     }
 
-    /// Learns from a run of `run_us` µs at the target's usual pace; none when the pace changed
-    /// meanwhile or the run came to no end.
-    pub fn note_end(&mut self, class: CallClass, measure: Measure, run_us: Option<f64>, now_us: u64) {
+    /// Records the end of a call that ran `run_us` µs at the target's usual speed; `None` when the speed
+    /// changed meanwhile or the run was not completed.
+    pub fn note_end(&mut self, class: CallClass, sample: SampleKind, run_us: Option<f64>, now_us: u64) {
         let usual_us = self.times.mean_us(class);
         if let Some(run_us) = run_us {
             self.times.note(class, run_us);
         }
         let relative = run_us.zip(usual_us).map(|(run_us, usual_us)| run_us / usual_us.max(1.0));
-        match measure {
-            Measure::Nothing => {}
-            Measure::Base(number) if number == self.base.number => self.note_base(relative, now_us),
-            Measure::Base(_) => {}
-            Measure::Trial(number) => self.note_trial(number, relative, now_us),
+        match sample {
+            SampleKind::Unused => {}
+            SampleKind::Baseline(number) if number == self.baseline.number => {
+                self.note_baseline(relative, now_us)
+            }
+            SampleKind::Baseline(_) => {}
+            SampleKind::Trial(number) => self.note_trial(number, relative, now_us),
         }
         self.end_trial_if_due(now_us);
         self.start_trial_if_due(now_us);
     }
 
-    /// Learns that the target refused work it was given.
+    /// Lowers the limit because the target shed a request.
     pub fn note_shed(&mut self) {
-        let fallen = (f64::from(self.limit) * SHED_FACTOR) as u32;
-        self.take_limit(fallen.max(self.floor));
+        let lowered = (f64::from(self.limit) * SHED_FACTOR) as u32;
+        self.replace_limit(lowered.max(self.floor));
     }
 
-    fn note_base(&mut self, relative: Option<f64>, now_us: u64) {
+    fn note_baseline(&mut self, relative: Option<f64>, now_us: u64) {
         let Some(relative) = relative else { return };
-        let base = &mut self.base;
-        if now_us.saturating_sub(base.last_us) > BASE_AGE_MAX_US {
-            base.calls = 0;
+        let baseline = &mut self.baseline;
+        if now_us.saturating_sub(baseline.last_us) > BASELINE_AGE_MAX_US {
+            baseline.calls = 0;
         }
-        base.calls = base.calls.saturating_add(1);
-        base.last_us = now_us;
-        let weight = BASE_WEIGHT.max(1.0 / f64::from(base.calls));
-        base.mean += weight * (relative - base.mean);
+        baseline.calls = baseline.calls.saturating_add(1);
+        baseline.last_us = now_us;
+        let weight = BASELINE_WEIGHT.max(1.0 / f64::from(baseline.calls));
+        baseline.mean += weight * (relative - baseline.mean);
     }
 
     fn note_trial(&mut self, number: u32, relative: Option<f64>, _now_us: u64) {
@@ -229,13 +230,14 @@
     }
 
     fn start_trial_if_due(&mut self, now_us: u64) {
-        let is_known = self.base.calls >= BASE_CALLS_MIN && self.base.last_us + BASE_AGE_MAX_US > now_us;
+        let is_known =
+            self.baseline.calls >= BASELINE_CALLS_MIN && self.baseline.last_us + BASELINE_AGE_MAX_US > now_us;
         if self.trial.is_some() || !is_known || now_us < self.not_before_us {
             return;
         }
         for offset in 0..STEPS.len() {
             let step = (self.next_step + offset) % STEPS.len();
-            let limit = STEPS[step].from(self.limit).clamp(self.floor, self.slots);
+            let limit = STEPS[step].apply_to(self.limit).clamp(self.floor, self.slots);
             if limit == self.limit || now_us < self.backoffs[step].not_before_us {
                 continue;
             }
@@ -256,21 +258,22 @@
     }
 
     fn end_trial_if_due(&mut self, now_us: u64) {
-        let base_worth = worth(self.limit, self.base.mean);
+        let baseline_utility = utility(self.limit, self.baseline.mean);
         let is_due = |trial: &mut Trial| {
-            let is_hopeless = trial.counted >= HOPELESS_CALLS && trial.worth() < HOPELESS * base_worth;
-            trial.ended >= TRIAL_CALLS || now_us >= trial.until_us || is_hopeless
+            let is_much_worse =
+                trial.counted >= ABORT_CALLS && trial.utility() < ABORT_SHARE * baseline_utility;
+            trial.ended >= TRIAL_CALLS || now_us >= trial.until_us || is_much_worse
         };
         let Some(trial) = self.trial.take_if(is_due) else { return };
         self.not_before_us = now_us + PAUSE_BETWEEN_US;
-        if trial.counted < HOPELESS_CALLS {
-            // Too few calls waited for this to say anything; the step is tried again later.
+        if trial.counted < ABORT_CALLS {
+            // Too few calls were measured for a result; the step is tried again later.
             self.backoffs[trial.step].not_before_us = now_us + PAUSE_FIRST_US;
             return;
         }
-        if trial.worth() > GAIN_MIN * base_worth {
+        if trial.utility() > GAIN_MIN * baseline_utility {
             self.note_gain(trial.step, now_us);
-            self.take_limit(trial.limit);
+            self.replace_limit(trial.limit);
             return;
         }
         let backoff = &mut self.backoffs[trial.step];
@@ -279,30 +282,30 @@
         backoff.not_before_us = now_us + pause_us;
     }
 
-    /// After a gain, more of the same is tried soon, and the way back later.
+    /// After a gain, steps in the same direction may follow at once, and steps back only after a pause.
     fn note_gain(&mut self, gained: usize, now_us: u64) {
         for (step, backoff) in STEPS.iter().zip(&mut self.backoffs) {
-            let is_same_way = step.is_up() == STEPS[gained].is_up();
-            let not_before_us = if is_same_way { now_us } else { now_us + PAUSE_FIRST_US };
+            let is_same_direction = step.is_up() == STEPS[gained].is_up();
+            let not_before_us = if is_same_direction { now_us } else { now_us + PAUSE_FIRST_US };
             *backoff = Backoff { failures: 0, not_before_us };
         }
     }
 
-    fn take_limit(&mut self, limit: u32) {
+    fn replace_limit(&mut self, limit: u32) {
         if limit == self.limit {
             return;
         }
         self.limit = limit;
         self.trial = None;
-        self.base = Base { number: self.base.number.wrapping_add(1), ..Base::default() };
+        self.baseline = Baseline { number: self.baseline.number.wrapping_add(1), ..Baseline::default() };
     }
 }
 
-/// How good it is that `limit` calls run at once and each takes `mean` of its usual time.
-fn worth(limit: u32, mean: f64) -> f64 {
+/// Returns the utility of running `limit` calls at once when each takes `mean` times its usual time.
+fn utility(limit: u32, mean: f64) -> f64 {
     f64::from(limit).powf(CONCURRENCY_EXPONENT) / mean.max(0.01)
 }
 
-fn share(slots: u32, percent: u32) -> u32 {
+fn percent_of(slots: u32, percent: u32) -> u32 {
     (slots * percent / 100).clamp(1, slots)
 }
--- a/crates/laurelstall_guard/src/refusal.rs
+++ b/crates/laurelstall_guard/src/refusal.rs
@@ -1,123 +1,124 @@
-//! Why a call was not run, and what follows from each reason.
+//! Reasons for which an attempt was not run, and what an entry does after each.
 
 use laurelstall_balance::hint::USUAL_PERCENT;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The reason of a refusal. Each is proof that this attempt did not run.
+/// Reason of a refusal. Each reason proves that the attempt did not run.
 ///
-/// It travels between nodes by its place in this list: new ones go to the end. What follows from a reason is
-/// in [`RefusalReason::facts`] and nowhere else.
+/// Nodes send a reason as its index, so new reasons are added at the end. All handling that depends on the
+/// reason is defined in [`RefusalReason::facts`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The target or its node is leaving.
+    /// The target or its node is draining.
     Draining,
-    /// As many calls wait as may.
+    /// The queue is full.
     QueueFull,
-    /// The call cannot be done within its time budget.
+    /// The call cannot be completed within its time budget.
     Deadline,
-    /// The call waited a usual service time and another target may be quicker.
+    /// The call waited for about a service time, and another target may be faster.
     HandedBack,
-    /// This guard does not guard the target that was named: nothing was sent to any target.
+    /// The guard is not responsible for the target that was named; nothing was sent to any target.
     OtherTarget,
-    /// The head's version or a field of it is not known here.
+    /// The version or a field of the attempt's head is not supported by this node.
     Unreadable,
-    /// The target, or the node beside it, took no connection.
+    /// No connection to the target or its node could be opened.
     NoConnection,
-    /// The target said that it shed the call before running it.
+    /// The target reported that it shed the request before running it.
     Shed,
-    /// The sender is no host of the fleet.
+    /// The sender is not a host of the fleet.
     Stranger,
-    /// No attempt was sent: no target may take the call now.
+    /// No attempt was sent because no target may take the call now.
     NoTarget,
-    /// The ticket was refused before and is void: its call never runs.
+    /// The ticket is void because its call was refused before.
     TicketVoid,
-    /// The target works slowly now and another may be quicker.
+    /// The target is in a slow phase, and another may be faster.
     Slow,
-    /// The call would wait so long that its answer had no full worth any more.
+    /// The call would wait so long that its answer could not be in time.
     Busy,
-    /// The target itself said that it is another than the one that was named: the request has reached it.
+    /// The target reported that it is another instance than the one that was named; the request reached it.
     Replaced,
-    /// The target is cold, and has no place for the call until its answer would be late.
+    /// The target is in its cold start, and its cold-start limit has no capacity for the call in time.
     Cold,
-    /// Targets ended under the same request: no target gets it.
+    /// The request is quarantined because targets crashed while running it.
     Held,
 }
 
-/// Who says that an attempt was not run.
+/// The component that refused an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalSource {
-    /// The entry, which sent nothing or could not send it.
+    /// The entry, which sent nothing or could not send the attempt.
     Entry,
     /// The guard, before it sent anything to its target.
     Guard,
-    /// The target, which the request has reached.
+    /// The target, after it received the request.
     Target,
 }
 
 /// What an entry may do with a call after a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing: no target would take it.
+    /// Fail the call, because no target would take it.
     GiveUp,
-    /// Another target, or the same one, as often as the limits of the service allow hand-backs.
+    /// Try another target, or the same one again, as often as the service's limit on hand-backs allows.
     HandBack,
-    /// Another target; this one may be asked again and must not refuse for that reason then.
+    /// Try another target. The call may return to this one, which must not refuse it for this reason then.
     PassOver,
-    /// Another target, without paying: no target has had the request.
+    /// Try another target free of charge, because the request reached no target.
     ElsewhereFree,
-    /// Another target, from a budget for moves of its own, or a few times where a running call waits for this one: no
-    /// target has had the request, but the others may be as full.
+    /// Try another target at the expense of a separate budget, or a few times for a nested call: the request
+    /// reached no target, but other targets may be as full.
     ElsewhereFew,
-    /// Another target, paid from the retry budget: the request has reached a target.
+    /// Try another target at the expense of the retry budget, because the request reached a target.
     ElsewherePaid,
 }
 
-/// What an entry learns of the target from a refusal.
+/// What a refusal tells an entry about the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lesson {
     /// Nothing.
     Nothing,
-    /// Some calls wait there.
+    /// Calls wait in its queue.
     SomeWait,
-    /// As many calls wait there as may.
+    /// Its queue is full.
     IsFull,
-    /// It works slowly.
+    /// It is in a slow phase.
     IsSlow,
-    /// It gets no call before the time that the refusal says.
+    /// It takes no call before the retry time given in the refusal, because of its cold-start limit.
     HasNoPlace,
-    /// It leaves.
+    /// It is draining.
     Drains,
     /// It cannot be reached under this name for now.
     IsAbsent,
-    /// The attempt failed: a target that refuses at once must not look idle.
+    /// The attempt failed, so that a target which refuses at once does not look idle.
     Fails,
 }
 
-/// What follows from a reason.
+/// How a reason is reported and handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusalFacts {
-    /// The word used in logs, headers and metrics.
+    /// The name used in logs, headers and metrics.
     pub word: &'static str,
-    /// Who says so.
+    /// The component that refused.
     pub source: RefusalSource,
     /// What the entry does next.
     pub next: NextStep,
-    /// What the entry learns of the target.
+    /// What the entry learns about the target.
     pub lesson: Lesson,
-    /// Whether it proves that a ticket's call never runs: the word of the guard that holds the ticket.
+    /// Whether the refusal proves that a ticket's call never runs, which only the guard that issued the
+    /// ticket can tell.
     pub proves_ticket: bool,
 }
 
 impl RefusalFacts {
-    /// Whether the request has reached a target, so that one more attempt is one more arrival.
+    /// Returns whether the request reached a target, so that a further attempt is a further arrival.
     pub fn has_arrived(&self) -> bool {
         self.source == RefusalSource::Target
     }
 }
 
 impl RefusalReason {
-    /// All reasons, in the order in which they travel.
+    /// All reasons, in the order of their index.
     pub const ALL: [Self; 16] = [
         Self::Draining,
         Self::QueueFull,
@@ -137,7 +138,7 @@
         Self::Held,
     ];
 
-    /// What follows from this reason: the one place that says so.
+    /// Returns how this reason is reported and handled.
     #[rustfmt::skip]
     pub const fn facts(self) -> RefusalFacts {
         use Lesson as L;
@@ -164,7 +165,7 @@
         RefusalFacts { word, source, next, lesson, proves_ticket }
     }
 
-    /// The word used in logs, headers and metrics.
+    /// Returns the name used in logs, headers and metrics.
     pub const fn word(self) -> &'static str {
         self.facts().word
     }
@@ -176,24 +177,24 @@
     }
 }
 
-/// A refusal with what helps the entry decide what is next.
+/// A refusal with details for the entry's next decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When a further try here makes sense, in ms; 0 when the guard cannot tell.
+    /// Time after which a retry at this guard makes sense, in ms; 0 when it is not known.
     pub retry_after_ms: u32,
     /// How long work takes at the target now, in percent of the usual.
     pub slowness_percent: u32,
 }
 
 impl Refusal {
-    /// A refusal for `reason`.
+    /// Creates a refusal for `reason` without further details.
     pub fn new(reason: RefusalReason) -> Self {
         Self { reason, retry_after_ms: 0, slowness_percent: USUAL_PERCENT }
     }
 
-    /// The same with when a further try here makes sense.
+    /// Returns the refusal with `retry_after_ms` set.
     pub fn with_retry_after_ms(self, retry_after_ms: u32) -> Self {
         Self { retry_after_ms, ..self }
     }
--- a/crates/laurelstall_guard/src/sharer_loads.rs
+++ b/crates/laurelstall_guard/src/sharer_loads.rs
@@ -1,4 +1,4 @@
-//! How many calls each workspace has at a guard.
+//! Calls of each workspace at a guard.
 
 use crate::ask::Sharer;
 use std::{
@@ -6,25 +6,24 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Calls that a workspace may have above its part: calls come in clumps, and a workspace whose calls merely came together
-/// is not to wait for that.
-const CALLS_ABOVE_PART: u64 = 2;
+/// Calls that a workspace may have above its share, so that a short burst does not count as exceeding it.
+const CALLS_ABOVE_SHARE: u64 = 2;
 
-/// Calls of one workspace.
+/// Number of calls and weight of one workspace.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     calls: u64,
     weight: u64,
 }
 
-/// Calls of all workspaces that have any here, running or waiting.
+/// Running and queued calls of all workspaces that have any.
 #[derive(Debug, Default)]
 pub struct SharerLoads {
     loads: Mutex<HashMap<u64, Load>>,
 }
 
 impl SharerLoads {
-    /// Counts a call for as long as the result lives.
+    /// Counts a call until the result is dropped.
     pub fn enter(self: &Arc<Self>, sharer: Sharer) -> SharerCall {
         let mut loads = self.lock();
         let load = loads.entry(sharer.id).or_insert(Load { calls: 0, weight: 1 });
@@ -34,18 +33,14 @@
         SharerCall { loads: self.clone(), id: sharer.id }
     }
 
-    /// Whether a workspace has more calls here than its part of all.
-    ///
-    /// Such calls go behind the others: while one of eight workspaces calls twelve times its usual, the answers that the
-    /// others get in time rise from 0.71 to 1.00 of their calls, and its own fall from 0.70 to 0.54
-    /// (`tests/workspaces.rs`).
+    /// Returns whether a workspace has more calls here than its share; such calls are queued behind others.
     pub fn is_over_share(&self, sharer: Sharer) -> bool {
         let loads = self.lock();
-        let Some(own) = loads.get(&sharer.id) else { return false };
+        let Some(workspace) = loads.get(&sharer.id) else { return false };
         let calls = loads.values().map(|load| load.calls).sum::<u64>();
         let weights = loads.values().map(|load| load.weight).sum::<u64>();
-        let part = calls * own.weight / weights.max(1);
-        own.calls > part + CALLS_ABOVE_PART
+        let share = calls * workspace.weight / weights.max(1);
+        workspace.calls > share + CALLS_ABOVE_SHARE
     }
 
     fn leave(&self, id: u64) {
@@ -62,7 +57,7 @@
     }
 }
 
-/// A call that counts for its workspace until this is dropped.
+/// A call counted for its workspace until this is dropped.
 #[derive(Debug)]
 pub struct SharerCall {
     loads: Arc<SharerLoads>,
--- a/crates/laurelstall_guard/src/start_decision.rs
+++ b/crates/laurelstall_guard/src/start_decision.rs
@@ -1,138 +1,142 @@
-//! Whether a call that could have a slot begins now, or waits for the target to be quick again.
+//! Decides whether a call for which there is a slot starts now or is held until the target's slow phase ends.
 //!
-//! How fast a target works at the instant when a call begins decides how long the whole call runs. A
-//! call that begins in a short slow phase holds its slot for a multiple of the usual time and is late; one
-//! that waits for the phase to end is often sooner done than if it had begun. Both ways are held against
-//! each other by what they are expected to be worth: the chance of an answer in time, and a smaller
-//! worth for a late one, less what the slot is worth to others.
+//! The speed of a target at the start of a call determines how long the whole call runs. A call that starts
+//! in a short slow phase occupies its slot for a multiple of the usual time and is late; one that waits for
+//! the end of the phase often finishes sooner. Both options are compared by their expected utility: the
+//! probability of an answer in time, plus a smaller utility of a late answer, less the opportunity cost of
+//! the slot.
 
-use crate::pace::PaceOutlook;
+use crate::pace::SpeedForecast;
 
-/// Worth of an answer that comes late but before the deadline, relative to one in time.
-///
-/// Callers value a late answer at a tenth to a third of one in time, and the share that is
-/// answered at all besides.
-const LATE_WORTH: f64 = 0.25;
-/// How far run times spread around their mean, relative to it.
+/// Utility of an answer that comes late but before the deadline; an answer in time has 1.
+const LATE_UTILITY: f64 = 0.25;
+/// Relative spread of run times around their mean.
 const RUN_SPREAD: f64 = 0.2;
-/// Points at which the rest of a slow phase is weighed.
-const POINTS: usize = 8;
+/// Number of quantiles at which the remaining time of a slow phase is evaluated.
+const QUANTILES: usize = 8;
 
-/// A call that could begin.
+/// A call that could start now.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Starter {
-    /// How long calls of its class run at the usual pace, in µs.
+pub struct StartCandidate {
+    /// Run time of its class at the target's usual speed, in µs.
     pub run_us: f64,
-    /// Time left in which its answer has its full worth, in µs.
+    /// Remaining time in which an answer meets the latency objective, in µs.
     pub useful_us: f64,
-    /// Time left to its deadline, in µs.
+    /// Remaining time to the deadline, in µs.
     pub budget_us: f64,
 }
 
-/// How much the slots of the target are asked for.
+/// Demand for the slots of the target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlotDemand {
-    /// Calls that run or wait, over the calls that may run at once; at most 1.
+    /// Calls that run or wait, divided by the concurrency limit; at most 1.
     pub load: f64,
-    /// Mean run time at the usual pace, in µs.
+    /// Mean run time at the target's usual speed, in µs.
     pub run_us: f64,
 }
 
 impl SlotDemand {
-    /// What a slot is worth to other calls, in answers for each µs.
+    /// Returns the opportunity cost of a slot, in answers per µs.
     ///
-    /// A slot of an idle target is worth nothing; where all are taken, each span of the mean run time is one
-    /// answer less. In between the chance that somebody else wants just this slot grows with the load.
-    fn price(&self) -> f64 {
+    /// A slot of an idle target costs nothing; where all are taken, each mean run time costs one answer. In
+    /// between, the probability that another call needs this slot grows with the load.
+    fn opportunity_cost(&self) -> f64 {
         self.load * self.load / self.run_us.max(1.0)
     }
 }
 
-/// What to do with a call and a free slot.
+/// Decision on a call for which there is a free slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartDecision {
-    /// It begins.
-    Begin,
-    /// It waits for the target to be quick again; the decision is made anew with the next report.
+    /// The call starts.
+    Start,
+    /// The call waits for the end of the slow phase; the next report triggers a new decision.
     Hold,
 }
 
-/// What is expected of a call that gets a slot, whichever way is taken.
+/// Expected result of the better option for a call that gets a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StartOutlook {
-    /// The better way.
+pub struct StartForecast {
+    /// The better option.
     pub decision: StartDecision,
-    /// Time until the answer, in µs, from when the call is the next to get a slot.
+    /// Expected time until the answer, in µs, from when the call is the next to get a slot.
     pub done_us: f64,
-    /// What it is worth, less what the slot is worth to others; an answer in time is worth 1.
-    pub worth: f64,
+    /// Expected utility less the opportunity cost of the slot; an answer in time has 1.
+    pub utility: f64,
 }
 
-impl StartOutlook {
-    /// What one more report of the target's pace is worth to a call that could begin now.
+impl StartForecast {
+    /// Returns the gain in utility that a new report of the target's speed brings to a call that could start
+    /// now.
     ///
-    /// A report is worth something only as far as it may change what is done: to hold a call, or to try
-    /// it elsewhere if it `has_choice`, when the target has turned slow; to begin when it has turned quick.
-    pub fn report_gain(starter: &Starter, pace: &PaceOutlook, demand: &SlotDemand, has_choice: bool) -> f64 {
-        let quick = PaceOutlook { slow_chance: 0.0, ..*pace };
-        let slow = PaceOutlook { slow_chance: 1.0, ..*pace };
-        let begin_quick = begin_worth(starter, &quick, demand);
-        let begin_slow = begin_worth(starter, &slow, demand);
-        let held = hold_worth(starter, pace, demand);
-        let away = if has_choice { begin_quick } else { held };
-        match Self::of(starter, pace, demand).decision {
-            StartDecision::Begin => pace.slow_chance * (held.max(away) - begin_slow).max(0.0),
-            StartDecision::Hold => (1.0 - pace.slow_chance) * (begin_quick - held).max(0.0),
+    /// A report gains something only if it may change the decision: to hold a call, or to try another target
+    /// if the call `has_choice`, when the target has turned slow; to start it when the target has turned
+    /// quick.
+    pub fn report_gain(
+        candidate: &StartCandidate,
+        speed: &SpeedForecast,
+        demand: &SlotDemand,
+        has_choice: bool,
+    ) -> f64 {
+        let quick = SpeedForecast { slow_probability: 0.0, ..*speed };
+        let slow = SpeedForecast { slow_probability: 1.0, ..*speed };
+        let start_quick = start_utility(candidate, &quick, demand);
+        let start_slow = start_utility(candidate, &slow, demand);
+        let held = hold_utility(candidate, speed, demand);
+        let elsewhere = if has_choice { start_quick } else { held };
+        match Self::of(candidate, speed, demand).decision {
+            StartDecision::Start => speed.slow_probability * (held.max(elsewhere) - start_slow).max(0.0),
+            StartDecision::Hold => (1.0 - speed.slow_probability) * (start_quick - held).max(0.0),
         }
     }
 
-    /// Weighs both ways for one call.
-    pub fn of(starter: &Starter, pace: &PaceOutlook, demand: &SlotDemand) -> Self {
-        let quick_us = starter.run_us * pace.quick_factor;
-        let now = begin_worth(starter, pace, demand);
-        let held = hold_worth(starter, pace, demand);
+    /// Compares starting and holding one call.
+    pub fn of(candidate: &StartCandidate, speed: &SpeedForecast, demand: &SlotDemand) -> Self {
+        let quick_us = candidate.run_us * speed.quick_factor;
+        let now = start_utility(candidate, speed, demand);
+        let held = hold_utility(candidate, speed, demand);
         if held > now {
-            let done_us = pace.slow_left_us + quick_us;
-            return Self { decision: StartDecision::Hold, done_us, worth: held };
+            let done_us = speed.slow_left_us + quick_us;
+            return Self { decision: StartDecision::Hold, done_us, utility: held };
         }
-        let done_us = quick_us * (1.0 + pace.slow_chance * (pace.slow_ratio - 1.0));
-        Self { decision: StartDecision::Begin, done_us, worth: now }
+        let done_us = quick_us * (1.0 + speed.slow_probability * (speed.slow_ratio - 1.0));
+        Self { decision: StartDecision::Start, done_us, utility: now }
     }
 }
 
-/// What it is worth to begin now.
-fn begin_worth(starter: &Starter, pace: &PaceOutlook, demand: &SlotDemand) -> f64 {
-    let quick_us = starter.run_us * pace.quick_factor;
-    let slow_us = quick_us * pace.slow_ratio;
-    let quick = answer_worth(starter, quick_us) - demand.price() * quick_us;
-    let slow = answer_worth(starter, slow_us) - demand.price() * slow_us;
-    pace.slow_chance * slow + (1.0 - pace.slow_chance) * quick
+/// Returns the expected utility of starting now.
+fn start_utility(candidate: &StartCandidate, speed: &SpeedForecast, demand: &SlotDemand) -> f64 {
+    let quick_us = candidate.run_us * speed.quick_factor;
+    let slow_us = quick_us * speed.slow_ratio;
+    let quick = answer_utility(candidate, quick_us) - demand.opportunity_cost() * quick_us;
+    let slow = answer_utility(candidate, slow_us) - demand.opportunity_cost() * slow_us;
+    speed.slow_probability * slow + (1.0 - speed.slow_probability) * quick
 }
 
-/// What it is worth to begin as soon as the slow phase is over.
+/// Returns the expected utility of starting as soon as the slow phase ends.
 ///
-/// The rest of the phase has no memory, so its length is weighed at the middles of equally likely
-/// parts. The slot stays empty meanwhile, which counts like a run.
-fn hold_worth(starter: &Starter, pace: &PaceOutlook, demand: &SlotDemand) -> f64 {
-    let quick_us = starter.run_us * pace.quick_factor;
-    let parts = (0..POINTS).map(|part| {
-        let chance = (part as f64 + 0.5) / POINTS as f64;
-        let wait_us = -(1.0 - chance).ln() * pace.slow_left_us;
+/// The remaining time of a phase is exponentially distributed, so it is evaluated at the medians of equally
+/// likely parts. The slot stays empty meanwhile, which costs as much as a run.
+fn hold_utility(candidate: &StartCandidate, speed: &SpeedForecast, demand: &SlotDemand) -> f64 {
+    let quick_us = candidate.run_us * speed.quick_factor;
+    let parts = (0..QUANTILES).map(|part| {
+        let quantile = (part as f64 + 0.5) / QUANTILES as f64;
+        let wait_us = -(1.0 - quantile).ln() * speed.slow_left_us;
         let done_us = wait_us + quick_us;
-        answer_worth(starter, done_us) - demand.price() * done_us
+        answer_utility(candidate, done_us) - demand.opportunity_cost() * done_us
     });
-    parts.sum::<f64>() / POINTS as f64
+    parts.sum::<f64>() / QUANTILES as f64
 }
 
-/// What an answer expected after `done_us` is worth.
-fn answer_worth(starter: &Starter, done_us: f64) -> f64 {
-    let in_time = done_by_chance(done_us, starter.useful_us);
-    let in_budget = done_by_chance(done_us, starter.budget_us);
-    in_time + LATE_WORTH * (in_budget - in_time).max(0.0)
+/// Returns the utility of an answer expected after `done_us`.
+fn answer_utility(candidate: &StartCandidate, done_us: f64) -> f64 {
+    let in_time = done_by_probability(done_us, candidate.useful_us);
+    let in_budget = done_by_probability(done_us, candidate.budget_us);
+    in_time + LATE_UTILITY * (in_budget - in_time).max(0.0)
 }
 
-/// The chance that what is expected after `done_us` is done after `limit_us`.
-fn done_by_chance(done_us: f64, limit_us: f64) -> f64 {
+/// Returns the probability that a run expected to take `done_us` ends within `limit_us`.
+fn done_by_probability(done_us: f64, limit_us: f64) -> f64 {
     if limit_us <= 0.0 {
         return 0.0;
     }
--- a/crates/laurelstall_guard/src/suspension.rs
+++ b/crates/laurelstall_guard/src/suspension.rs
@@ -1,7 +1,7 @@
-//! Time for which this machine was suspended.
+//! Time for which the machine was suspended.
 //!
-//! The steady clock of the operating system does not count it, so what is older than it seems would be taken for fresh:
-//! reads of the platform, lists, hints, budgets of calls. The clock since boot does count it.
+//! The monotonic clock of the operating system does not include it, so that old data such as platform reads,
+//! target lists, load hints and time budgets would seem fresh. The boot-time clock does include it.
 
 use nix::time::{ClockId, clock_gettime};
 use std::sync::{
@@ -9,20 +9,22 @@
     atomic::{AtomicU64, Ordering},
 };
 
-/// Least difference between the two clocks that is taken for a suspension, in µs: they are read one after the other, and
-/// run at rates that differ by less than this in an hour.
+/// Smallest difference between the two clocks that counts as a suspension, in µs. It covers the time between
+/// the two readings and the drift between the clocks within an hour.
 const SUSPENSION_MIN_US: u64 = 20_000;
 
-/// How far the clock since boot is ahead of the steady clock, in µs; none where the system has no such clock.
+/// Returns how far the boot-time clock is ahead of the monotonic clock, in µs; `None` where the system has no
+/// such clock.
 fn lead_us() -> Option<u64> {
-    // In this order: whatever comes between the two readings makes the lead look smaller, never larger.
+    // Read in this order, so that a delay between the readings makes the lead smaller, never larger.
     let since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?;
-    let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
+    let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
     let micros = |time: nix::sys::time::TimeSpec| time.tv_sec() * 1_000_000 + time.tv_nsec() / 1_000;
-    Some(u64::try_from(micros(since_boot) - micros(steady)).unwrap_or(0))
+    Some(u64::try_from(micros(since_boot) - micros(monotonic)).unwrap_or(0))
 }
 
-/// How long this machine was suspended since this was first asked, in µs. It never shrinks.
+/// Returns how long the machine was suspended since the first call of this function, in µs. The result never
+/// decreases.
 pub fn suspended_us() -> u64 {
     static FIRST_LEAD_US: OnceLock<u64> = OnceLock::new();
     static SUSPENDED_US: AtomicU64 = AtomicU64::new(0);
--- a/crates/laurelstall_guard/src/target_identity.rs
+++ b/crates/laurelstall_guard/src/target_identity.rs
@@ -1,93 +1,96 @@
-//! Which instance of the target stands beside a guard.
+//! Identity of the target instance at a guard.
 //!
-//! The published list names an instance, but it lags: while the platform is away, a host may restart with a new
-//! instance of its target that no list names. A request that is sent under the wrong name reaches the target
-//! for nothing. So the guard goes by the list until the instance itself says or shows something else.
+//! The published list names an instance but may be out of date: while the platform is unreachable, a host may
+//! restart with a new instance of its target that no list names yet. A request sent under the wrong name is
+//! denied by the instance and lost. So the guard uses the listed name until the instance itself reports or
+//! shows another one.
 
 use std::mem;
 
-/// First pause after an instance denied the name that it was called by, in µs: about as long as the list takes
-/// to name a new instance while the platform answers.
+/// First pause after an instance denied the name that it was addressed by, in µs; about as long as the list
+/// takes to name a new instance.
 const PAUSE_MIN_US: u64 = 100_000;
-/// Times that the pause doubles, up to 3.2 s: an instance that denies its own name for good is given fewer than
-/// twenty requests a minute by all entries together.
+/// Number of times that the pause doubles, up to 3.2 s: an instance that keeps denying its own name gets
+/// fewer than twenty requests a minute.
 const PAUSE_DOUBLINGS_MAX: u32 = 5;
 
-/// How long an instance that did not answer is not asked for its first word again, in µs: each question holds up the
-/// calls that wait for its answer.
-const SILENCE_PAUSE_US: u64 = 1_000_000;
+/// Pause after a query without a reply, in µs, because each query delays the calls that wait for it.
+const NO_REPLY_PAUSE_US: u64 = 1_000_000;
 
-/// How a call may be sent to the instance.
+/// Under which name a call may be sent to the instance, if at all.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
-    /// Under this name.
+    /// Send it under this name.
     SendAs(String),
-    /// Not before the instance was asked who it is; see [`TargetIdentity::note_word`].
+    /// Query the instance for its name first; see [`TargetIdentity::note_word`].
     Ask,
-    /// Not at all for now.
+    /// Refuse it for now.
     Refuse {
-        /// When to come back, in µs from now.
+        /// Time after which to retry, in µs.
         wait_us: u64,
     },
 }
 
-/// The instance denied the name that a request was sent under, or says that it has another one.
+/// Doubt about the instance's name, after it denied the name that a request was sent under or reported
+/// another one.
 #[derive(Debug, Clone, Copy)]
 struct Doubt {
-    /// Whether the present name was denied: what an instance says of itself at its load path may be wrong, and
-    /// shuts nothing out alone.
+    /// Whether the current name was denied. A name that an instance reports at its load path may be wrong and
+    /// does not block calls by itself.
     is_denied: bool,
-    /// Denials in a row.
+    /// Number of denials in a row.
     denials: u32,
-    /// Until when nothing is sent, in µs of the guard's clock.
+    /// Time until which nothing is sent, in µs of the guard's clock.
     until_us: u64,
-    /// Whether one request is under way to find out.
-    is_tried: bool,
+    /// Whether one request is in flight to find out.
+    is_probing: bool,
 }
 
 impl Doubt {
     fn new(is_denied: bool, now_us: u64) -> Self {
-        Self { is_denied, denials: 0, until_us: now_us, is_tried: false }
+        Self { is_denied, denials: 0, until_us: now_us, is_probing: false }
     }
 }
 
-/// What a guard knows of the instance beside it.
+/// What a guard knows about the name of its target instance.
 #[derive(Debug)]
 pub struct TargetIdentity {
-    /// Until when the first word of the instance is taken for the name of the target, in µs of the guard's clock.
-    first_word_until_us: u64,
-    /// The name in the list.
+    /// Time until which the first name that the instance reports is taken for the name of the target, in µs
+    /// of the guard's clock.
+    first_report_until_us: u64,
+    /// Name in the published list.
     listed: String,
-    /// The name that the instance gave as its first word, where the list has another one.
+    /// First name that the instance reported, if it differs from the listed one.
     successor: Option<String>,
-    /// Whether the instance has said or shown who it is since the start.
-    has_spoken: bool,
-    /// Until when it is not asked for its first word, since it did not answer, in µs of the guard's clock.
-    silent_until_us: u64,
-    /// Whether it ran requests under a name that it said is not its own.
-    is_word_wrong: bool,
+    /// Whether the instance has reported or shown its name since the start.
+    has_reported: bool,
+    /// Time until which the instance is not queried again because it did not reply, in µs of the guard's
+    /// clock.
+    no_query_until_us: u64,
+    /// Whether the instance ran a request under a name that it had reported not to be its own.
+    is_report_wrong: bool,
     doubt: Option<Doubt>,
 }
 
 impl TargetIdentity {
-    /// Nothing is known yet.
+    /// Creates an identity without a name.
     ///
-    /// Until `first_word_until_us` whoever stands here belongs to the service of the target: the node's settings
-    /// were made for its start, and an address is not given to another service so soon. Later only the list
-    /// can tell to which service an instance belongs.
-    pub fn new(first_word_until_us: u64) -> Self {
+    /// Until `first_report_until_us`, any instance at the address belongs to the target's service: the node's
+    /// settings are made for its start, and an address is not reused for another service so soon. Later only
+    /// the list tells to which service an instance belongs.
+    pub fn new(first_report_until_us: u64) -> Self {
         Self {
-            first_word_until_us,
+            first_report_until_us,
             listed: String::new(),
             successor: None,
-            has_spoken: false,
-            silent_until_us: 0,
-            is_word_wrong: false,
+            has_reported: false,
+            no_query_until_us: 0,
+            is_report_wrong: false,
             doubt: None,
         }
     }
 
-    /// Takes the name in the list; a new one makes the instance's own words out of date.
+    /// Sets the name from the published list; a new name discards what the instance reported.
     pub fn follow_list(&mut self, listed: &str) {
         if self.listed == listed {
             return;
@@ -96,122 +99,125 @@
         self.forget_word();
     }
 
-    /// Forgets what the instance said and showed: another one stands there under the same name.
+    /// Discards what the instance reported and showed, because another instance was started under the same
+    /// name.
     pub fn forget_word(&mut self) {
         self.successor = None;
-        self.is_word_wrong = false;
+        self.is_report_wrong = false;
         self.doubt = None;
     }
 
-    /// The name that the instance is called by now.
+    /// Returns the name that the instance is addressed by now.
     pub fn name(&self) -> &str {
         self.successor.as_deref().unwrap_or(&self.listed)
     }
 
-    /// Whether a call that an entry addressed to `name` is for the instance here.
+    /// Returns whether a call that an entry addressed to `name` is for this instance.
     pub fn is_called(&self, name: &str) -> bool {
         self.listed == name || self.successor.as_deref() == Some(name)
     }
 
-    /// How long nothing may be sent, in µs; none when a call may be sent, or the instance asked, now.
+    /// Returns for how long calls are refused, in µs; `None` when a call may be sent, or the instance
+    /// queried, now.
     pub fn refused_for_us(&self, now_us: u64) -> Option<u64> {
         let doubt = self.doubt.filter(|doubt| now_us < doubt.until_us)?;
         Some(doubt.until_us - now_us)
     }
 
-    /// How a call may be sent now; `can_ask` says whether the instance tells its name where it is asked.
-    pub fn claim(&mut self, can_ask: bool, now_us: u64) -> Claim {
+    /// Decides how a call may be sent now; `can_query` tells whether the instance reports its name when
+    /// queried.
+    pub fn claim(&mut self, can_query: bool, now_us: u64) -> Claim {
         if let Some(wait_us) = self.refused_for_us(now_us) {
             return Claim::Refuse { wait_us };
         }
-        let is_first = !self.has_spoken && !self.listed.is_empty() && now_us < self.first_word_until_us;
-        let is_first_asked = is_first && now_us >= self.silent_until_us;
-        if can_ask && (is_first_asked || self.doubt.is_some()) {
+        let is_first = !self.has_reported && !self.listed.is_empty() && now_us < self.first_report_until_us;
+        let needs_first_report = is_first && now_us >= self.no_query_until_us;
+        if can_query && (needs_first_report || self.doubt.is_some()) {
             return Claim::Ask;
         }
         self.send(now_us)
     }
 
-    /// Takes what the instance said of itself; none when it took the question and did not say its name.
+    /// Records the name that the instance reported; `None` when it replied without a name.
     pub fn note_word(&mut self, name: Option<&str>, now_us: u64) {
-        let is_first = !mem::replace(&mut self.has_spoken, true);
+        let is_first = !mem::replace(&mut self.has_reported, true);
         let Some(name) = name else { return };
-        if is_first && now_us < self.first_word_until_us && !self.is_called(name) {
+        if is_first && now_us < self.first_report_until_us && !self.is_called(name) {
             self.successor = Some(name.to_owned());
         }
-        if self.name() == name || self.is_word_wrong || self.refused_for_us(now_us).is_some() {
+        if self.name() == name || self.is_report_wrong || self.refused_for_us(now_us).is_some() {
             return;
         }
         match self.doubt {
             None => self.doubt = Some(Doubt::new(false, now_us)),
-            Some(doubt) if doubt.is_denied => self.note_other(now_us),
+            Some(doubt) if doubt.is_denied => self.note_mismatch(now_us),
             Some(_) => {}
         }
     }
 
-    /// Notes that the instance was asked and did not answer: that is no word, and the next one is its first.
+    /// Records that the instance did not reply to a query; the next report counts as its first.
     pub fn note_silence(&mut self, now_us: u64) {
-        self.silent_until_us = now_us + SILENCE_PAUSE_US;
+        self.no_query_until_us = now_us + NO_REPLY_PAUSE_US;
     }
 
-    /// How the call that asked the instance may be sent, once its word was taken.
+    /// Decides how the call that queried the instance may be sent, after the report was recorded.
     pub fn claim_after_word(&mut self, now_us: u64) -> Claim {
         self.claim(false, now_us)
     }
 
-    /// What becomes of the call that asked when the instance took no connection.
+    /// Returns the decision for a call that queried the instance when no connection could be opened.
     pub fn claim_unreached() -> Claim {
         Claim::Refuse { wait_us: PAUSE_MIN_US }
     }
 
-    /// Notes that the instance denied `name`, under which a request was sent to it.
+    /// Records that the instance denied `name`, under which a request was sent to it.
     pub fn note_denied(&mut self, name: &str, now_us: u64) {
         if self.name() != name {
             return;
         }
         let was_successor = self.successor.take().is_some();
         match &mut self.doubt {
-            // The listed name was not denied yet.
+            // The listed name itself has not been denied yet.
             _ if was_successor => self.doubt = Some(Doubt::new(false, now_us)),
-            // It is asked before the next call.
+            // The instance is queried before the next call.
             None => self.doubt = Some(Doubt::new(true, now_us)),
-            Some(doubt) if doubt.is_tried => {
+            Some(doubt) if doubt.is_probing => {
                 doubt.is_denied = true;
-                self.note_other(now_us);
+                self.note_mismatch(now_us);
             }
             Some(doubt) => doubt.is_denied = true,
         }
     }
 
-    /// Notes that the instance ran a request that was sent under `name`.
+    /// Records that the instance ran a request that was sent under `name`.
     pub fn note_ran(&mut self, name: &str) {
         if self.name() == name {
-            self.has_spoken = true;
-            self.is_word_wrong |= self.doubt.is_some_and(|doubt| !doubt.is_denied);
+            self.has_reported = true;
+            self.is_report_wrong |= self.doubt.is_some_and(|doubt| !doubt.is_denied);
             self.doubt = None;
         }
     }
 
-    /// Whether the instance denied its name and has not run anything since.
+    /// Returns whether the name is in doubt and no request has run since.
     pub fn is_in_doubt(&self) -> bool {
         self.doubt.is_some()
     }
 
-    /// One call goes to the instance; while its name is in doubt, others wait for what comes of it.
+    /// Sends one call; while the name is in doubt, others wait for its result.
     fn send(&mut self, now_us: u64) -> Claim {
         if let Some(doubt) = &mut self.doubt {
-            doubt.is_tried = true;
+            doubt.is_probing = true;
             doubt.until_us = now_us + pause_us(doubt.denials);
         }
         Claim::SendAs(self.name().to_owned())
     }
 
-    /// The instance is another than the one in the list: nothing is sent for a while.
-    fn note_other(&mut self, now_us: u64) {
+    /// Blocks calls for a while because the instance is not the one in the list.
+    fn note_mismatch(&mut self, now_us: u64) {
         let Some(doubt) = &mut self.doubt else { return };
         doubt.until_us = now_us + pause_us(doubt.denials);
         doubt.denials = doubt.denials.saturating_add(1);
-        doubt.is_tried = false;
+        doubt.is_probing = false;
     }
 }
 
--- a/crates/laurelstall_guard/src/ticket.rs
+++ b/crates/laurelstall_guard/src/ticket.rs
@@ -1,36 +1,36 @@
-//! Tickets: the right to run one call that may not be repeated, bound to one guard.
+//! Tickets: each permits one run of a call that must not be repeated, at one guard.
 
 use quick_error::quick_error;
 use std::fmt;
 
-/// Longest ticket in bytes, as it travels in a header.
+/// Maximum length of a ticket in a header, in bytes.
 pub const TICKET_BYTES_MAX: usize = 320;
 
-/// A ticket, as a caller holds it.
+/// A ticket as a caller holds it.
 ///
-/// It travels as `SERVICE~TARGET~INCARNATION~NUMBER`, with the incarnation in hexadecimal. Its
-/// lifetime is kept by the guard that gave it out, on that guard's own clock.
+/// Its text form is `SERVICE~TARGET~INCARNATION~NUMBER`, with the incarnation in hexadecimal. The guard that
+/// issued it keeps its lifetime, by the guard's own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ticket {
     /// Full name of the service, `team/service`.
     pub service: String,
-    /// The one target that may run the call.
+    /// Name of the only target that may run the call.
     pub target: String,
-    /// The guard's start.
+    /// Incarnation of the guard, which identifies its start.
     pub incarnation: u64,
-    /// The ticket's number at that guard.
+    /// Number of the ticket at that guard.
     pub number: u64,
 }
 
 quick_error! {
-    /// A text that is no ticket.
+    /// Error for a text that is not a ticket.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum TicketError {
-        /// It is too long.
+        /// The text is too long.
         TooLong {
             display("a ticket has at most {TICKET_BYTES_MAX} bytes")
         }
-        /// Its parts are not those of a ticket.
+        /// The text does not have the parts of a ticket.
         Malformed {
             display("a ticket is SERVICE~TARGET~INCARNATION~NUMBER")
         }
@@ -38,11 +38,11 @@
 }
 
 impl Ticket {
-    /// Reads a ticket.
+    /// Parses a ticket.
     ///
     /// # Errors
     ///
-    /// [`TicketError`] when the text is no ticket.
+    /// A [`TicketError`] when the text is not a valid ticket.
     pub fn from_text(text: &str) -> Result<Self, TicketError> {
         if text.len() > TICKET_BYTES_MAX {
             return Err(TicketError::TooLong);
@@ -56,7 +56,7 @@
         let incarnation = u64::from_str_radix(incarnation, 16).map_err(|_| TicketError::Malformed)?;
         let number = number.parse().map_err(|_| TicketError::Malformed)?;
         let ticket = Self { service: service.to_owned(), target: target.to_owned(), incarnation, number };
-        // One ticket has one form: `+1` or `01` would be a second name for the same number.
+        // Only the canonical form is accepted: `+1` or `01` would be a second name for the same number.
         if ticket.to_string() == text { Ok(ticket) } else { Err(TicketError::Malformed) }
     }
 }
--- a/crates/laurelstall_guard/src/wait_queue.rs
+++ b/crates/laurelstall_guard/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Calls that wait at a guard, the most important and most urgent first.
+//! Priority queue of the calls that wait at a guard.
 
 use crate::{
     ask::{Ask, Rank},
@@ -7,10 +7,10 @@
 use std::{cmp::Reverse, collections::BTreeMap};
 use tokio::sync::oneshot;
 
-/// Place of a waiting call: importance, then workspaces within their part, then first attempts, then deadline, then
-/// arrival.
+/// Sort key of a queued call: importance, then workspaces within their share, then first attempts, then
+/// deadline, then arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueueKey {
     importance: Reverse<u8>,
     is_over_share: bool,
     is_return: bool,
@@ -18,7 +18,7 @@
     number: u64,
 }
 
-impl Place {
+impl QueueKey {
     fn new(rank: Rank, deadline_us: u64, number: u64) -> Self {
         Self {
             importance: Reverse(rank.importance),
@@ -29,74 +29,76 @@
         }
     }
 
-    /// When the call must be done, in µs of the guard's clock.
+    /// Returns the deadline of the call, in µs of the guard's clock.
     pub fn deadline_us(&self) -> u64 {
         self.deadline_us
     }
 }
 
-/// What a waiting call is woken for.
+/// Why a queued call is woken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wake {
-    /// A slot is reserved for it.
+    /// A slot is reserved for the call.
     Start,
-    /// It is refused after all, for this reason.
+    /// The call is refused for this reason.
     Refused(RefusalReason),
 }
 
-/// A waiting call: what it asks, and the way to wake it.
+/// A queued call and the channel that wakes it.
 #[derive(Debug)]
 struct Waiter {
-    ask: Ask,
-    /// Whether it was decided that the call may wait here.
+    request: Ask,
+    /// Whether the call was accepted into the queue and is not refused because of the target's speed any
+    /// more.
     is_accepted: bool,
     wake: oneshot::Sender<Wake>,
 }
 
-/// A bounded queue of calls.
+/// A queue of calls ordered by [`QueueKey`]; its owner enforces the length limit.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
-    waiting: BTreeMap<Place, Waiter>,
+    waiting: BTreeMap<QueueKey, Waiter>,
     next_number: u64,
 }
 
 impl WaitQueue {
-    /// Puts a call in the queue; one that is not `is_accepted` may still be refused.
-    pub fn push(&mut self, ask: &Ask, is_accepted: bool) -> (Place, oneshot::Receiver<Wake>) {
+    /// Adds a call to the queue; a call that is not `is_accepted` may still be refused by the next report of
+    /// the target.
+    pub fn push(&mut self, request: &Ask, is_accepted: bool) -> (QueueKey, oneshot::Receiver<Wake>) {
         let (wake, woken) = oneshot::channel();
-        let place = Place::new(ask.rank, ask.deadline_us, self.next_number);
+        let key = QueueKey::new(request.rank, request.deadline_us, self.next_number);
         self.next_number += 1;
-        self.waiting.insert(place, Waiter { ask: *ask, is_accepted, wake });
-        (place, woken)
+        self.waiting.insert(key, Waiter { request: *request, is_accepted, wake });
+        (key, woken)
     }
 
-    /// What the first call asks.
+    /// Returns the request of the first call.
     pub fn first(&self) -> Option<&Ask> {
-        self.waiting.first_key_value().map(|(_, waiter)| &waiter.ask)
+        self.waiting.first_key_value().map(|(_, waiter)| &waiter.request)
     }
 
-    /// Place, wish, and whether it was accepted, of each call, the first ones first.
-    pub fn iter(&self) -> impl Iterator<Item = (&Place, &Ask, bool)> {
-        self.waiting.iter().map(|(place, waiter)| (place, &waiter.ask, waiter.is_accepted))
+    /// Iterates over key, request and acceptance of each call, in queue order.
+    pub fn iter(&self) -> impl Iterator<Item = (&QueueKey, &Ask, bool)> {
+        self.waiting.iter().map(|(key, waiter)| (key, &waiter.request, waiter.is_accepted))
     }
 
-    /// Accepts all calls that are in the queue now.
+    /// Marks all queued calls as accepted.
     pub fn accept_all(&mut self) {
         self.waiting.values_mut().for_each(|waiter| waiter.is_accepted = true);
     }
 
-    /// Takes a call out and wakes it; false when it waits no more.
-    pub fn wake(&mut self, place: &Place, wake: Wake) -> bool {
-        let waiter = self.waiting.remove(place);
+    /// Removes a call and wakes it; returns false when it does not wait any more.
+    pub fn wake(&mut self, key: &QueueKey, wake: Wake) -> bool {
+        let waiter = self.waiting.remove(key);
         waiter.is_some_and(|waiter| waiter.wake.send(wake).is_ok())
     }
 
-    /// Takes a call out that gave up waiting; false when it was woken already.
-    pub fn remove(&mut self, place: &Place) -> bool {
-        self.waiting.remove(place).is_some()
+    /// Removes a call that stopped waiting; returns false when it was woken already.
+    pub fn remove(&mut self, key: &QueueKey) -> bool {
+        self.waiting.remove(key).is_some()
     }
 
-    /// Takes out the call that matters least, if it matters less than `rank`.
+    /// Removes the call with the lowest priority if that is below `rank`; returns whether a call was removed.
     pub fn evict_below(&mut self, rank: Rank) -> bool {
         let Some((last, _)) = self.waiting.last_key_value() else { return false };
         let least = (last.importance, last.is_over_share, last.is_return);
@@ -107,18 +109,18 @@
         is_lower
     }
 
-    /// Calls ahead of one with this rank and deadline.
+    /// Returns how many calls are ahead of one with this rank and deadline.
     pub fn ahead_of(&self, rank: Rank, deadline_us: u64) -> usize {
-        let place = Place::new(rank, deadline_us, u64::MAX);
-        self.waiting.range(..place).count()
+        let key = QueueKey::new(rank, deadline_us, u64::MAX);
+        self.waiting.range(..key).count()
     }
 
-    /// Calls that wait.
+    /// Returns the number of queued calls.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/crates/laurelstall_guard/tests/held_calls.rs
+++ b/crates/laurelstall_guard/tests/held_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are held while the target is slow, with time standing still.
+//! Calls held during the target's slow phases, on a paused clock.
 
 use laurelstall_guard::{
     ask::{Ask, Rank, Sharer},
@@ -30,7 +30,7 @@
 
 type Admission = JoinHandle<Result<Permit, Refusal>>;
 
-fn ask(clock: &Clock) -> Ask {
+fn request(clock: &Clock) -> Ask {
     let now_us = clock.now_us();
     Ask {
         rank: Rank::new(5, false),
@@ -45,19 +45,19 @@
     }
 }
 
-async fn waiting(guard: &Arc<Guard>, ask: Ask) -> Admission {
+async fn enqueue(guard: &Arc<Guard>, request: Ask) -> Admission {
     let guard = guard.clone();
-    let task = tokio::spawn(async move { guard.admit(ask).await });
+    let task = tokio::spawn(async move { guard.admit(request).await });
     yield_now().await;
     task
 }
 
-/// A guard that knows how long its calls run, and that its target has just turned slow.
+/// Creates a guard that has measured a run and whose target has just turned slow.
 async fn slow_guard() -> (Arc<Guard>, Clock) {
     let clock = Clock::new();
     let guard = Guard::new(LIMITS, clock);
     guard.note_slowness(100);
-    let permit = guard.admit(ask(&clock)).await.expect("a free slot");
+    let permit = guard.admit(request(&clock)).await.expect("a free slot");
     advance(Duration::from_millis(RUN_MS)).await;
     guard.note_slowness(100);
     drop(permit);
@@ -66,85 +66,85 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_held_call_begins_with_the_report_that_the_target_is_quick() {
+async fn a_held_call_starts_when_a_report_says_that_the_target_is_quick() {
     let (guard, clock) = slow_guard().await;
-    let held = waiting(&guard, ask(&clock)).await;
+    let held = enqueue(&guard, request(&clock)).await;
     assert!(!held.is_finished());
-    assert_eq!((guard.load().in_flight, guard.load().queued), (0, 1), "a held slot is no work");
+    assert_eq!((guard.load().in_flight, guard.load().queued), (0, 1), "a held call occupies no slot");
     advance(Duration::from_millis(50)).await;
     guard.note_slowness(500);
     yield_now().await;
     assert!(!held.is_finished());
     guard.note_slowness(100);
-    held.await.expect("no panic").expect("it begins");
+    held.await.expect("no panic").expect("it starts");
 }
 
 #[tokio::test(start_paused = true)]
-async fn held_calls_begin_as_the_last_report_grows_old() {
+async fn held_calls_start_when_the_last_report_is_old() {
     let (guard, clock) = slow_guard().await;
-    let watcher = guard.clone();
-    let watch = tokio::spawn(async move { watcher.report_wanted().await });
-    let held = waiting(&guard, ask(&clock)).await;
-    let begun = timeout(Duration::from_millis(900), held).await;
-    begun.expect("nothing else can tell").expect("no panic").expect("it begins");
-    assert!(!watch.is_finished(), "this target cannot be asked");
-    watch.abort();
+    let querying_guard = guard.clone();
+    let query_task = tokio::spawn(async move { querying_guard.report_wanted().await });
+    let held = enqueue(&guard, request(&clock)).await;
+    let started = timeout(Duration::from_millis(900), held).await;
+    started.expect("it starts without a query").expect("no panic").expect("it starts");
+    assert!(!query_task.is_finished(), "this target cannot be queried");
+    query_task.abort();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_waits_for_a_report_that_helps_and_begins_without_one_that_fails() {
+async fn a_call_waits_for_a_useful_report_and_starts_when_the_query_fails() {
     let (guard, clock) = slow_guard().await;
     guard.set_can_look(true);
     advance(Duration::from_millis(300)).await;
-    let first = waiting(&guard, ask(&clock)).await;
+    let first = enqueue(&guard, request(&clock)).await;
     timeout(Duration::from_millis(1), guard.report_wanted()).await.expect("the last report is old");
     assert!(!first.is_finished());
     guard.note_look(None);
     yield_now().await;
-    let begun = timeout(Duration::from_millis(400), first).await.expect("in time for its answer");
-    let permit = begun.expect("no panic").expect("no report is to be had");
+    let started = timeout(Duration::from_millis(400), first).await.expect("in time for its answer");
+    let permit = started.expect("no panic").expect("it starts without a report");
     permit.release_uncounted();
-    let watcher = guard.clone();
-    let watch = tokio::spawn(async move { watcher.report_wanted().await });
-    let second = waiting(&guard, ask(&clock)).await;
-    let begun = timeout(Duration::from_millis(400), second).await;
-    begun.expect("in time for its answer").expect("no panic").expect("no report is to be had");
-    assert!(!watch.is_finished(), "the target is not asked again soon");
-    watch.abort();
+    let querying_guard = guard.clone();
+    let query_task = tokio::spawn(async move { querying_guard.report_wanted().await });
+    let second = enqueue(&guard, request(&clock)).await;
+    let started = timeout(Duration::from_millis(400), second).await;
+    started.expect("in time for its answer").expect("no panic").expect("it starts without a report");
+    assert!(!query_task.is_finished(), "the target is not queried again soon");
+    query_task.abort();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_with_a_choice_is_refused_by_the_report_that_it_waited_for() {
+async fn a_call_with_a_choice_is_refused_when_the_report_is_slow() {
     let (guard, clock) = slow_guard().await;
     guard.set_can_look(true);
     guard.note_slowness(100);
     advance(Duration::from_millis(300)).await;
-    let choosy = Ask { slow_from_percent: Some(200), ..ask(&clock) };
-    let asked = waiting(&guard, choosy).await;
-    assert!(!asked.is_finished());
+    let with_choice = Ask { slow_from_percent: Some(200), ..request(&clock) };
+    let queued = enqueue(&guard, with_choice).await;
+    assert!(!queued.is_finished());
     guard.note_slowness(500);
-    let refused = asked.await.expect("no panic").expect_err("the target is slow");
+    let refused = queued.await.expect("no panic").expect_err("the target is slow");
     assert_eq!((refused.reason, refused.slowness_percent), (RefusalReason::Slow, 500));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_was_held_too_long_to_be_in_time_is_served_all_the_same() {
+async fn a_call_held_beyond_its_latency_objective_is_still_served() {
     let (guard, clock) = slow_guard().await;
-    let held = waiting(&guard, ask(&clock)).await;
+    let held = enqueue(&guard, request(&clock)).await;
     for _ in 0..60 {
         advance(Duration::from_millis(10)).await;
         guard.note_slowness(500);
         yield_now().await;
     }
-    assert!(!held.is_finished(), "its useful time is over, a slot is free, the target is slow");
+    assert!(!held.is_finished(), "the call is held while the target is slow");
     guard.note_slowness(100);
-    held.await.expect("no panic").expect("it is late, not lost");
+    held.await.expect("no panic").expect("it is served late");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_held_call_that_cannot_be_served_any_more_is_refused() {
+async fn a_held_call_that_would_miss_its_deadline_is_refused() {
     let (guard, clock) = slow_guard().await;
-    let held = waiting(&guard, ask(&clock)).await;
+    let held = enqueue(&guard, request(&clock)).await;
     for _ in 0..120 {
         advance(Duration::from_millis(10)).await;
         guard.note_slowness(500);
@@ -158,28 +158,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_held_call_whose_caller_left_leaves_no_trace() {
+async fn a_cancelled_held_call_is_removed_from_the_queue() {
     let (guard, clock) = slow_guard().await;
-    let held = waiting(&guard, ask(&clock)).await;
+    let held = enqueue(&guard, request(&clock)).await;
     held.abort();
     assert!(held.await.is_err());
     assert!(guard.is_idle());
     guard.note_slowness(100);
-    guard.admit(ask(&clock)).await.expect("all slots are free");
+    guard.admit(request(&clock)).await.expect("all slots are free");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_guard_that_may_not_hold_begins_at_any_pace() {
+async fn without_holding_calls_start_at_any_speed() {
     let (guard, clock) = slow_guard().await;
     guard.set_limits(GuardLimits { may_hold: false, ..LIMITS });
-    guard.admit(ask(&clock)).await.expect("it begins");
+    guard.admit(request(&clock)).await.expect("it starts");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_was_held_until_its_target_is_leaving_does_not_begin_there() {
+async fn a_held_call_does_not_start_long_after_draining_began() {
     let (guard, clock) = slow_guard().await;
-    let patient = Ask { deadline_us: clock.now_us() + 9_000_000, ..ask(&clock) };
-    let held = [waiting(&guard, patient).await, waiting(&guard, patient).await];
+    let request = Ask { deadline_us: clock.now_us() + 9_000_000, ..request(&clock) };
+    let held = [enqueue(&guard, request).await, enqueue(&guard, request).await];
     guard.set_draining(true);
     advance(Duration::from_millis(500)).await;
     guard.set_draining(true);
@@ -190,59 +190,59 @@
     }
     guard.note_slowness(100);
     for call in held {
-        let refused = call.await.expect("no panic").expect_err("the target has been leaving for 1.1 s");
+        let refused = call.await.expect("no panic").expect_err("the target has been draining for 1.1 s");
         assert_eq!(refused.reason, RefusalReason::Draining);
     }
     assert!(guard.is_idle());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_is_asked_at_most_fifty_times_a_second_however_long_it_is_slow() {
+async fn a_target_is_queried_at_most_fifty_times_a_second() {
     let (guard, clock) = slow_guard().await;
     guard.set_can_look(true);
-    // Phases of some 10 ms make each report old at once.
+    // Phases of some 10 ms make each report outdated at once.
     for turn in 0..200 {
         advance(Duration::from_millis(10)).await;
         guard.note_slowness(if turn % 2 == 0 { 100 } else { 500 });
     }
-    let (watched, looks) = (guard.clone(), Arc::new(AtomicU32::new(0)));
-    let counted = looks.clone();
-    let watch = tokio::spawn(async move {
+    let (querying_guard, queries) = (guard.clone(), Arc::new(AtomicU32::new(0)));
+    let counted = queries.clone();
+    let query_task = tokio::spawn(async move {
         loop {
-            watched.report_wanted().await;
+            querying_guard.report_wanted().await;
             counted.fetch_add(1, Ordering::SeqCst);
-            watched.note_look(Some(500));
+            querying_guard.note_look(Some(500));
         }
     });
     let mut calls = Vec::new();
-    let mut before = 0;
+    let mut previous = 0;
     let mut most = 0;
     for _second in 0..5 {
         for _ in 0..200 {
-            calls.push(waiting(&guard, ask(&clock)).await);
+            calls.push(enqueue(&guard, request(&clock)).await);
             advance(Duration::from_millis(5)).await;
             yield_now().await;
         }
-        let now = looks.load(Ordering::SeqCst);
-        most = most.max(now - before);
-        before = now;
+        let count = queries.load(Ordering::SeqCst);
+        most = most.max(count - previous);
+        previous = count;
     }
-    assert!((20..=50).contains(&most), "{most} looks in a second");
-    watch.abort();
+    assert!((20..=50).contains(&most), "{most} queries in a second");
+    query_task.abort();
     calls.iter().for_each(JoinHandle::abort);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cold_target_takes_the_calls_of_entries_that_cannot_tell_and_refuses_them_in_a_slow_phase() {
+async fn without_information_calls_run_on_a_cold_target_but_not_in_a_slow_phase() {
     let clock = Clock::new();
     let guard = Guard::new(LIMITS, clock);
-    // What an entry says that knows nothing of the others: three times the usual pace.
-    let unknowing = Ask { slow_from_percent: Some(300), ..ask(&clock) };
+    // An entry without information about other targets accepts three times the usual slowness.
+    let without_information = Ask { slow_from_percent: Some(300), ..request(&clock) };
     guard.note_slowness(200);
-    let permit = guard.admit(unknowing).await.expect("a cold target takes it");
-    // Its guard has just started too: the first word may come from a slow phase.
+    let permit = guard.admit(without_information).await.expect("a cold target takes it");
+    // The guard has just started as well, so its first report may come from a slow phase.
     guard.note_slowness(400);
-    let refused = guard.admit(unknowing).await.expect_err("a slow phase");
+    let refused = guard.admit(without_information).await.expect_err("a slow phase");
     assert_eq!((refused.reason, refused.slowness_percent), (RefusalReason::Slow, 400));
     drop(permit);
 }
--- a/crates/laurelstall_guard/tests/refusal.rs
+++ b/crates/laurelstall_guard/tests/refusal.rs
@@ -1,10 +1,10 @@
-//! What follows from the reasons of refusals.
+//! How refusals are reported and handled, by reason.
 
 use laurelstall_guard::refusal::{Lesson, NextStep, RefusalReason, RefusalSource};
 use std::collections::HashSet;
 
 #[test]
-fn what_has_reached_a_target_is_never_tried_elsewhere_for_nothing() {
+fn requests_that_reached_a_target_are_never_retried_free_of_charge() {
     for reason in RefusalReason::ALL {
         let facts = reason.facts();
         let is_paid = matches!(facts.next, NextStep::ElsewherePaid | NextStep::GiveUp);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_target_that_refuses_what_has_reached_it_does_not_look_idle() {
+fn a_refusal_by_the_target_counts_as_a_failure() {
     for reason in RefusalReason::ALL {
         let facts = reason.facts();
         assert!(!facts.has_arrived() || facts.lesson == Lesson::Fails, "{reason}");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn only_what_has_reached_a_target_is_paid_for() {
+fn only_requests_that_reached_a_target_use_the_retry_budget() {
     for reason in RefusalReason::ALL {
         let facts = reason.facts();
         assert!(facts.next != NextStep::ElsewherePaid || facts.has_arrived(), "{reason}");
@@ -29,26 +29,26 @@
 }
 
 #[test]
-fn whoever_may_be_asked_again_for_nothing_is_bounded_or_left_alone() {
+fn free_retries_tell_the_entry_something_about_the_target() {
     for reason in RefusalReason::ALL {
         let facts = reason.facts();
         let is_free = facts.next == NextStep::ElsewhereFree;
         let is_known = facts.lesson != Lesson::Nothing || reason == RefusalReason::Unreadable;
-        assert!(!is_free || is_known, "{reason}: the next call would go there as well");
+        assert!(!is_free || is_known, "{reason}: the next call would go to the same target");
     }
 }
 
 #[test]
-fn words_and_places_tell_reasons_apart() {
-    let words = RefusalReason::ALL.map(RefusalReason::word);
-    assert_eq!(words.iter().collect::<HashSet<_>>().len(), RefusalReason::ALL.len());
-    for (place, reason) in RefusalReason::ALL.into_iter().enumerate() {
-        assert_eq!(reason as usize, place, "{reason}");
+fn names_and_indices_of_reasons_are_unique() {
+    let names = RefusalReason::ALL.map(RefusalReason::word);
+    assert_eq!(names.iter().collect::<HashSet<_>>().len(), RefusalReason::ALL.len());
+    for (index, reason) in RefusalReason::ALL.into_iter().enumerate() {
+        assert_eq!(reason as usize, index, "{reason}");
     }
 }
 
 #[test]
-fn the_page_says_what_the_code_does() {
+fn the_page_on_refusals_matches_the_code() {
     let page = include_str!("../../../docs/REFUSALS.md");
     for reason in RefusalReason::ALL {
         let facts = reason.facts();
--- a/crates/laurelstall_guard/tests/target_identity.rs
+++ b/crates/laurelstall_guard/tests/target_identity.rs
@@ -1,78 +1,78 @@
-//! Which instance a guard takes its target for.
+//! The name under which a guard addresses its target instance.
 
 use laurelstall_guard::target_identity::{Claim, TargetIdentity};
 
 const START_US: u64 = 1_000_000;
-const FIRST_WORD_US: u64 = 2_000_000;
+const FIRST_REPORT_US: u64 = 2_000_000;
 const LATE_US: u64 = START_US + 60_000_000;
 
 fn send_as(name: &str) -> Claim {
     Claim::SendAs(name.to_owned())
 }
 
-/// Takes a word of the instance; how the call that asked for it may be sent.
-fn word(identity: &mut TargetIdentity, name: Option<&str>, now_us: u64) -> Claim {
+/// Records the reported name; returns how the call that queried the instance may be sent.
+fn report(identity: &mut TargetIdentity, name: Option<&str>, now_us: u64) -> Claim {
     identity.note_word(name, now_us);
     identity.claim_after_word(now_us)
 }
 
 fn started() -> TargetIdentity {
-    let mut identity = TargetIdentity::new(START_US + FIRST_WORD_US);
+    let mut identity = TargetIdentity::new(START_US + FIRST_REPORT_US);
     identity.follow_list("old");
     identity
 }
 
-/// A guard that has run something for the listed instance.
-fn running() -> TargetIdentity {
+/// An identity whose instance has run a request under the listed name.
+fn confirmed() -> TargetIdentity {
     let mut identity = started();
     identity.note_ran("old");
     identity
 }
 
 #[test]
-fn the_first_word_after_a_start_names_the_target_until_the_list_does() {
+fn the_first_report_after_a_start_names_the_target_until_the_list_does() {
     let mut identity = started();
     assert_eq!(identity.claim(true, START_US), Claim::Ask);
-    assert_eq!(word(&mut identity, Some("new"), START_US), send_as("new"));
+    assert_eq!(report(&mut identity, Some("new"), START_US), send_as("new"));
     assert_eq!(identity.claim(true, LATE_US), send_as("new"));
     assert!(identity.is_called("old") && identity.is_called("new") && !identity.is_called("other"));
     identity.follow_list("new");
     assert_eq!(identity.claim(true, LATE_US), send_as("new"));
     assert!(!identity.is_called("old"), "the list has caught up");
     identity.follow_list("newest");
-    assert_eq!(identity.claim(true, LATE_US), send_as("newest"), "the list is newer than the word");
+    assert_eq!(identity.claim(true, LATE_US), send_as("newest"), "the list is newer than the report");
 }
 
 #[test]
-fn a_word_that_comes_late_does_not_name_the_target() {
+fn a_late_report_does_not_name_the_target() {
     let mut identity = started();
     assert_eq!(identity.claim(true, LATE_US), send_as("old"));
-    let mut identity = running();
+    let mut identity = confirmed();
     identity.note_denied("old", LATE_US);
     assert_eq!(identity.claim(true, LATE_US), Claim::Ask);
-    let refused = word(&mut identity, Some("new"), LATE_US);
+    let refused = report(&mut identity, Some("new"), LATE_US);
     assert!(matches!(refused, Claim::Refuse { wait_us } if wait_us > 0), "its service is not known");
     assert_eq!(identity.name(), "old");
 }
 
 #[test]
-fn without_a_time_for_it_no_first_word_is_asked_for() {
+fn without_a_first_report_period_the_instance_is_not_queried() {
     let mut identity = TargetIdentity::new(0);
     identity.follow_list("old");
     assert_eq!(identity.claim(true, START_US), send_as("old"));
 }
 
 #[test]
-fn nothing_is_sent_to_an_instance_that_is_another_until_the_list_names_it() {
-    let mut identity = running();
+fn no_call_is_sent_to_another_instance_until_the_list_names_it() {
+    let mut identity = confirmed();
     identity.note_denied("old", LATE_US);
     let mut now_us = LATE_US;
-    let mut asked = 0;
+    let mut queries = 0;
     while now_us < LATE_US + 10_000_000 {
         match identity.claim(true, now_us) {
             Claim::Ask => {
-                asked += 1;
-                let claim = word(&mut identity, Some("new"), now_us);
+                queries += 1;
+                let claim = report(&mut identity, Some("new"), now_us);
                 assert!(matches!(claim, Claim::Refuse { .. }));
             }
             Claim::Refuse { .. } => {}
@@ -80,70 +80,70 @@
         }
         now_us += 1_000;
     }
-    assert!((5..=8).contains(&asked), "asked {asked} times in ten seconds: the pause doubles");
+    assert!((5..=8).contains(&queries), "{queries} queries in ten seconds");
     identity.follow_list("new");
-    assert_eq!(identity.claim(true, now_us), send_as("new"), "the list's word counts at once");
+    assert_eq!(identity.claim(true, now_us), send_as("new"), "the new listed name applies at once");
 }
 
 #[test]
-fn an_instance_that_denies_its_own_name_is_tried_by_single_calls_ever_more_seldom() {
-    for can_ask in [true, false] {
-        let mut identity = running();
+fn an_instance_that_denies_its_own_name_gets_single_calls_with_backoff() {
+    for can_query in [true, false] {
+        let mut identity = confirmed();
         identity.note_denied("old", LATE_US);
         let mut sent = 0;
         for now_us in (LATE_US..LATE_US + 10_000_000).step_by(1_000) {
-            let mut claim = identity.claim(can_ask, now_us);
+            let mut claim = identity.claim(can_query, now_us);
             if claim == Claim::Ask {
-                claim = word(&mut identity, Some("old"), now_us);
+                claim = report(&mut identity, Some("old"), now_us);
             }
             if let Claim::SendAs(name) = claim {
                 sent += 1;
                 identity.note_denied(&name, now_us + 500);
             }
         }
-        assert!((4..=8).contains(&sent), "{sent} calls in ten seconds, can_ask {can_ask}");
+        assert!((4..=8).contains(&sent), "{sent} calls in ten seconds, can_query {can_query}");
         identity.note_ran("old");
-        assert_eq!(identity.claim(can_ask, LATE_US), send_as("old"), "it has shown who it is");
+        assert_eq!(identity.claim(can_query, LATE_US), send_as("old"), "it has run a request under its name");
     }
 }
 
 #[test]
-fn a_wrong_word_at_the_load_path_shuts_nothing_out() {
-    // It gives another name than it runs requests under, from the start on or later.
+fn a_wrong_name_at_the_load_path_blocks_no_calls() {
+    // The instance reports another name than it runs requests under, from the start or later.
     let mut identity = started();
-    assert_eq!(word(&mut identity, Some("wrong"), START_US), send_as("wrong"));
+    assert_eq!(report(&mut identity, Some("wrong"), START_US), send_as("wrong"));
     identity.note_denied("wrong", START_US);
     assert_eq!(identity.claim(true, START_US), Claim::Ask);
     assert_eq!(
-        word(&mut identity, Some("wrong"), START_US),
+        report(&mut identity, Some("wrong"), START_US),
         send_as("old"),
-        "the list's word was not denied"
+        "the listed name was not denied"
     );
-    assert!(matches!(identity.claim(true, START_US), Claim::Refuse { .. }), "one call finds out");
+    assert!(matches!(identity.claim(true, START_US), Claim::Refuse { .. }), "one call is sent to find out");
     identity.note_ran("old");
     identity.note_word(Some("wrong"), LATE_US);
     assert_eq!(identity.claim(true, LATE_US), send_as("old"));
 
-    let mut identity = running();
+    let mut identity = confirmed();
     identity.note_word(Some("wrong"), LATE_US);
     assert_eq!(identity.claim(true, LATE_US), Claim::Ask);
-    assert_eq!(word(&mut identity, Some("wrong"), LATE_US), send_as("old"));
+    assert_eq!(report(&mut identity, Some("wrong"), LATE_US), send_as("old"));
     identity.note_ran("old");
     identity.note_word(Some("wrong"), LATE_US);
-    assert!(!identity.is_in_doubt(), "its word is known to be wrong");
+    assert!(!identity.is_in_doubt(), "its report is known to be wrong");
 }
 
 #[test]
-fn a_word_of_another_name_costs_one_call_before_nothing_is_sent_any_more() {
-    let mut identity = running();
+fn after_a_report_of_another_name_one_denied_call_blocks_the_others() {
+    let mut identity = confirmed();
     identity.note_word(Some("new"), LATE_US);
-    assert_eq!(word(&mut identity, Some("new"), LATE_US), send_as("old"));
+    assert_eq!(report(&mut identity, Some("new"), LATE_US), send_as("old"));
     identity.note_denied("old", LATE_US + 1_000);
     let mut sent = 0;
     for now_us in (LATE_US + 1_000..LATE_US + 10_000_000).step_by(1_000) {
         let mut claim = identity.claim(true, now_us);
         if claim == Claim::Ask {
-            claim = word(&mut identity, Some("new"), now_us);
+            claim = report(&mut identity, Some("new"), now_us);
         }
         sent += u32::from(matches!(claim, Claim::SendAs(_)));
     }
@@ -151,40 +151,40 @@
 }
 
 #[test]
-fn many_denials_of_calls_that_were_under_way_count_as_one() {
-    let mut identity = running();
+fn denials_of_calls_in_flight_count_as_one() {
+    let mut identity = confirmed();
     for _ in 0..12 {
         identity.note_denied("old", LATE_US);
     }
     assert_eq!(identity.claim(true, LATE_US), Claim::Ask);
-    assert_eq!(word(&mut identity, Some("old"), LATE_US), send_as("old"));
+    assert_eq!(report(&mut identity, Some("old"), LATE_US), send_as("old"));
     identity.note_ran("old");
     assert!(!identity.is_in_doubt());
 }
 
 #[test]
-fn an_instance_that_does_not_say_its_name_is_called_by_the_listed_one() {
+fn an_instance_without_a_reported_name_is_addressed_by_the_listed_one() {
     let mut identity = started();
     assert_eq!(identity.claim(true, START_US), Claim::Ask);
-    assert_eq!(word(&mut identity, None, START_US), send_as("old"));
-    assert_eq!(identity.claim(true, START_US), send_as("old"), "it is not asked again");
-    let mut unable = started();
-    assert_eq!(unable.claim(false, START_US), send_as("old"));
+    assert_eq!(report(&mut identity, None, START_US), send_as("old"));
+    assert_eq!(identity.claim(true, START_US), send_as("old"), "it is not queried again");
+    let mut unqueryable = started();
+    assert_eq!(unqueryable.claim(false, START_US), send_as("old"));
 }
 
 #[test]
-fn an_instance_that_is_not_up_yet_is_asked_again() {
+fn an_unreachable_instance_is_queried_again() {
     let mut identity = started();
     let refused = TargetIdentity::claim_unreached();
     assert!(matches!(refused, Claim::Refuse { .. }));
     assert_eq!(identity.claim(true, START_US), Claim::Ask);
-    assert_eq!(word(&mut identity, Some("new"), START_US), send_as("new"));
+    assert_eq!(report(&mut identity, Some("new"), START_US), send_as("new"));
 }
 
 #[test]
-fn a_denial_of_another_name_says_nothing() {
+fn a_denial_of_a_former_name_is_ignored() {
     let mut identity = started();
-    word(&mut identity, Some("new"), START_US);
+    report(&mut identity, Some("new"), START_US);
     identity.note_denied("old", START_US);
     assert!(!identity.is_in_doubt());
     identity.follow_list("newest");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn an_instance_that_does_not_answer_has_its_first_word_yet_and_is_asked_once_a_second() {
+fn an_instance_without_a_reply_is_queried_once_a_second() {
     let mut identity = started();
     assert_eq!(identity.claim(true, START_US), Claim::Ask);
     identity.note_silence(START_US);
@@ -202,7 +202,7 @@
     assert_eq!(identity.claim(true, START_US + 1_100_000), Claim::Ask);
     identity.note_silence(START_US + 1_100_000);
     identity.note_denied("old", START_US + 1_200_000);
-    assert_eq!(identity.claim(true, START_US + 1_200_000), Claim::Ask, "it is another one");
+    assert_eq!(identity.claim(true, START_US + 1_200_000), Claim::Ask, "it may be another instance");
     identity.note_word(Some("new"), START_US + 1_200_000);
     assert_eq!(identity.claim_after_word(START_US + 1_200_000), send_as("new"));
     identity.note_ran("new");
--- a/crates/laurelstall_guard/tests/tickets.rs
+++ b/crates/laurelstall_guard/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets and the ledger.
+//! Tickets and the ledger of their outcomes.
 
 use bytes::Bytes;
 use laurelstall_guard::{
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_repeat_gets_the_kept_answer_or_waits() {
+fn a_repeated_call_waits_for_or_gets_the_stored_answer() {
     let mut ledger = Ledger::new(INCARNATION, 10);
     let (first, count) = ledger.give(2, LIFETIME_US, 0);
     assert_eq!(count, 2);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn refused_spent_foreign_and_expired_tickets_never_run() {
+fn void_used_unknown_and_expired_tickets_never_run() {
     let mut ledger = Ledger::new(INCARNATION, 10);
     let (first, _) = ledger.give(3, LIFETIME_US, 0);
     let token = begin_run(&mut ledger, first);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_ledger_is_bounded_and_gives_room_back() {
+fn the_ledger_is_bounded_and_expiry_frees_capacity() {
     let mut ledger = Ledger::new(INCARNATION, 5);
     assert_eq!(ledger.give(9, LIFETIME_US, 0).1, 5);
     assert_eq!(ledger.give(1, LIFETIME_US, 0).1, 0);
@@ -76,7 +76,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut ledger = Ledger::new(INCARNATION, 200);
         let mut runs: HashMap<u64, u32> = HashMap::new();
-        let mut told_not_run: HashMap<u64, bool> = HashMap::new();
+        let mut proved_not_run: HashMap<u64, bool> = HashMap::new();
         let mut running: Vec<(u64, RunToken)> = Vec::new();
         let (mut now_us, mut last) = (0, 0);
         for _ in 0..5_000 {
@@ -93,10 +93,10 @@
                             let count = runs.entry(number).or_default();
                             *count += 1;
                             assert_eq!(*count, 1, "ticket {number} began twice");
-                            assert!(!told_not_run.contains_key(&number), "ticket {number} ran after all");
+                            assert!(!proved_not_run.contains_key(&number), "ticket {number} ran after all");
                             running.push((number, token));
                         }
-                        Begin::NotRun => assert!(told_not_run.contains_key(&number)),
+                        Begin::NotRun => assert!(proved_not_run.contains_key(&number)),
                         Begin::Kept(kept) => assert_eq!(kept.body, number.to_string()),
                         _ => {}
                     }
@@ -108,7 +108,7 @@
                         0 => ledger.end_answered(token, Some(answer(&number.to_string()))),
                         1 => ledger.end_unknown(token),
                         _ => {
-                            told_not_run.insert(number, true);
+                            proved_not_run.insert(number, true);
                             ledger.end_not_run(token);
                         }
                     }
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_ticket_has_one_form() {
+fn a_ticket_has_one_text_form() {
     let ticket = Ticket { service: "t/s".to_owned(), target: "a".to_owned(), incarnation: 255, number: 3 };
     assert_eq!(ticket.to_string(), "t/s~a~ff~3");
     assert_eq!(Ticket::from_text("t/s~a~ff~3"), Ok(ticket));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn any_text_is_read_without_a_panic() {
+fn no_text_makes_the_parser_panic() {
     bolero::check!().with_type::<String>().with_iterations(5_000).for_each(|text| {
         if let Ok(ticket) = Ticket::from_text(text) {
             assert_eq!(&ticket.to_string(), text);
--- a/crates/laurelstall_guard/tests/workspaces.rs
+++ b/crates/laurelstall_guard/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! A target that several workspaces call, one of them far more than usual.
+//! A target shared by several workspaces, one of which calls it far more than usual.
 
 use laurelstall_guard::{
     ask::{Ask, Rank, Sharer},
@@ -14,14 +14,14 @@
 };
 
 const SLOTS: u32 = 8;
-/// Time that a run takes.
+/// Duration of a run.
 const RUN: Duration = Duration::from_millis(80);
-/// Time in which an answer has its full worth, in ms.
+/// Latency objective in ms.
 const USEFUL_MS: u64 = 400;
 const WORKSPACES: u64 = 8;
-/// Calls a second of a usual workspace: all together take six tenths of the slots.
+/// Calls per second of a usual workspace; all together take six tenths of the slots.
 const USUAL_PER_S: f64 = 7.5;
-/// How many times its usual the first workspace calls.
+/// Factor by which the first workspace exceeds the usual rate.
 const HOT: f64 = 12.0;
 
 fn limits() -> GuardLimits {
@@ -37,7 +37,7 @@
     }
 }
 
-fn ask(clock: &Clock, sharer: Sharer) -> Ask {
+fn request(clock: &Clock, sharer: Sharer) -> Ask {
     let now_us = clock.now_us();
     Ask {
         rank: Rank::new(5, false),
@@ -52,8 +52,9 @@
     }
 }
 
-/// Shares of calls served in time for ten seconds: of the workspaces that call as usual, and of the hot one.
-async fn served(shares_out: bool) -> (f64, f64) {
+/// Returns the shares of calls answered in time within ten seconds, of the usual workspaces and of the hot
+/// one.
+async fn served(is_shared_fairly: bool) -> (f64, f64) {
     let clock = Clock::new();
     let guard = Guard::new(limits(), clock);
     let mut rng = SmallRng::seed_from_u64(1);
@@ -63,7 +64,7 @@
         for workspace in 1..=WORKSPACES {
             let factor = if workspace == 1 { HOT } else { 1.0 };
             if rng.random_bool(USUAL_PER_S * factor / 1_000.0) {
-                let sharer = Sharer { id: if shares_out { workspace } else { 0 }, weight: 1 };
+                let sharer = Sharer { id: if is_shared_fairly { workspace } else { 0 }, weight: 1 };
                 calls.spawn(call(guard.clone(), clock, workspace, sharer));
             }
         }
@@ -79,19 +80,21 @@
 }
 
 async fn call(guard: Arc<Guard>, clock: Clock, workspace: u64, sharer: Sharer) -> (u64, bool) {
-    let asked_us = clock.now_us();
-    let Ok(permit) = guard.admit(ask(&clock, sharer)).await else { return (workspace, false) };
+    let requested_us = clock.now_us();
+    let Ok(permit) = guard.admit(request(&clock, sharer)).await else { return (workspace, false) };
     sleep(RUN).await;
     drop(permit);
-    (workspace, clock.now_us() - asked_us <= USEFUL_MS * 1_000)
+    (workspace, clock.now_us() - requested_us <= USEFUL_MS * 1_000)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_workspace_at_many_times_its_usual_does_not_cost_the_others() {
+async fn a_hot_workspace_does_not_affect_others() {
     let (others, hot) = served(true).await;
-    let (others_without, hot_without) = served(false).await;
-    println!("shared out: others {others:.3}, hot {hot:.3}; not: {others_without:.3}, {hot_without:.3}");
+    let (others_unshared, hot_unshared) = served(false).await;
+    println!(
+        "fair shares: others {others:.3}, hot {hot:.3}; without: others {others_unshared:.3}, hot {hot_unshared:.3}"
+    );
     assert!(others >= 0.95, "{others}");
-    assert!(others > others_without + 0.1, "{others} with, {others_without} without");
-    assert!(hot >= others / 4.0, "the hot one is not starved: {hot}");
+    assert!(others > others_unshared + 0.1, "others: {others} with fair shares, {others_unshared} without");
+    assert!(hot >= others / 4.0, "the hot workspace is starved: {hot}");
 }
--- a/crates/laurelstall_policy/examples/decide.rs
+++ b/crates/laurelstall_policy/examples/decide.rs
@@ -1,4 +1,4 @@
-//! Compiles a routing program and asks it about two requests.
+//! Compiles a routing program and runs it for three requests.
 //!
 //! Run it with `cargo run -p laurelstall_policy --example decide`.
 
--- a/crates/laurelstall_policy/src/plan.rs
+++ b/crates/laurelstall_policy/src/plan.rs
@@ -1,60 +1,62 @@
-//! What a program decided for one request.
+//! Decisions of routing programs.
 
 use quick_error::quick_error;
 use rhai::{Dynamic, Map};
 
-/// Most attempts a program may ask for.
+/// Maximum number of attempts that a program may set.
 pub const TRIES_MAX: i64 = 10;
 /// Highest importance; calls of higher importance leave a queue first.
 pub const IMPORTANCE_MAX: i64 = 9;
-/// Importance of a call whose program names none.
+/// Importance of a call whose program sets none.
 pub const IMPORTANCE_DEFAULT: u8 = 5;
-/// Longest time budget or hedging delay in ms.
+/// Maximum time budget or hedging delay, in ms.
 pub const DURATION_MS_MAX: i64 = 3_600_000;
 
-/// A program's decision.
+/// The decision of a program about one request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Plan {
     /// Run the request.
     Route(Route),
-    /// Refuse it, with this reason.
+    /// Refuse the request with this reason.
     Refuse(String),
 }
 
 /// How to run a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Field `service`: the service's name within the team.
+    /// Field `service`: name of the service within the team.
     pub service: String,
     /// Field `repeat`: whether the request may run more than once. Default false.
     pub may_repeat: bool,
-    /// Field `budget_ms`: time budget; the caller's own if it is smaller.
+    /// Field `budget_ms`: time budget in ms; a smaller budget set by the caller takes precedence. `None` when
+    /// the program sets none.
     pub budget_ms: Option<u64>,
-    /// The time within which an answer has its full worth, in ms; none when nothing says so.
+    /// Latency objective in ms; `None` when none is configured.
     pub latency_objective_ms: Option<u64>,
-    /// Field `tries`: most attempts, hand-backs not counted. Default 3.
+    /// Field `tries`: maximum number of attempts, without those handed back. Default 3.
     pub tries: u32,
-    /// Calls of one class do about the same work; 0 when nothing is known.
+    /// Class of the call; calls of one class take about the same time. 0 when unknown.
     pub class: u32,
-    /// Field `hedge_after_ms`: a second attempt runs beside the first after so long.
+    /// Field `hedge_after_ms`: delay in ms after which a second attempt is started in parallel to the first;
+    /// `None` for no hedging.
     pub hedge_after_ms: Option<u64>,
     /// Field `importance`, 0 to 9.
     pub importance: u8,
-    /// Whether callers need no key, where the team asks for keys.
+    /// Whether callers need no key even if the team requires keys.
     pub is_public: bool,
-    /// Data centres that it may be served in; empty for all.
+    /// Data centres in which the request may be served; empty for all.
     pub data_centres: Vec<String>,
-    /// Field `observe`, 0 to 100: share of the observing budget that calls like this may use.
+    /// Field `observe`, 0 to 100: percentage of the observation budget that calls like this may use.
     pub observe_percent: u8,
 }
 
 quick_error! {
-    /// A result that is no decision.
+    /// Error for a result that is not a valid decision.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PlanError {
-        /// The program did not end in a map.
+        /// The program did not return a map.
         NotAMap(found: String) {
-            display("the program ended in {found}, not in a map")
+            display("the program returned {found}, not a map")
         }
         /// A field is unknown, missing, of the wrong type or out of range.
         Field(name: String, message: String) {
@@ -64,7 +66,7 @@
 }
 
 impl Route {
-    /// A route with every default.
+    /// Creates a route to `service` with all defaults.
     pub fn new(service: &str) -> Self {
         Self {
             service: service.to_owned(),
@@ -83,11 +85,11 @@
 }
 
 impl Plan {
-    /// Reads a program's result.
+    /// Parses the result of a program.
     ///
     /// # Errors
     ///
-    /// [`PlanError`] when the result is no map, or a field of it is wrong.
+    /// A [`PlanError`] when the result is not a map or one of its fields is invalid.
     pub fn from_result(result: Dynamic) -> Result<Self, PlanError> {
         let found = result.type_name();
         let Some(map) = result.try_cast::<Map>() else {
@@ -104,7 +106,10 @@
             return Err(field("service", "is missing"));
         }
         if route.hedge_after_ms.is_some() && !route.may_repeat {
-            return Err(field("hedge_after_ms", "only a request that may repeat can be hedged"));
+            return Err(field(
+                "hedge_after_ms",
+                "requires `repeat: true`, because hedging may run the request twice",
+            ));
         }
         Ok(Self::Route(route))
     }
@@ -116,7 +121,7 @@
 
 fn read_refusal(map: &Map, reason: &Dynamic) -> Result<Plan, PlanError> {
     if map.len() != 1 {
-        return Err(field("refuse", "stands alone, without other fields"));
+        return Err(field("refuse", "must be the only field"));
     }
     let reason = reason.clone().into_string();
     reason.map(Plan::Refuse).map_err(|found| field("refuse", &format!("is {found}, not a string")))
@@ -133,7 +138,7 @@
         }
         "importance" => route.importance = read_integer(name, value, 0, IMPORTANCE_MAX)? as u8,
         "observe" => route.observe_percent = read_integer(name, value, 0, 100)? as u8,
-        _ => return Err(field(name, "is no field of a decision")),
+        _ => return Err(field(name, "is not a field of a decision")),
     }
     Ok(())
 }
--- a/crates/laurelstall_policy/src/program.rs
+++ b/crates/laurelstall_policy/src/program.rs
@@ -1,4 +1,4 @@
-//! A compiled routing program and the limits it runs under.
+//! Compiled routing programs and their resource limits.
 
 use crate::plan::{Plan, PlanError};
 use http::HeaderMap;
@@ -9,45 +9,45 @@
 };
 use std::sync::Arc;
 
-/// Steps one run may take.
+/// Maximum number of operations in one run.
 pub const OPERATIONS_MAX: u64 = 20_000;
-/// Deepest nesting of function calls.
+/// Maximum nesting of function calls.
 pub const CALL_LEVELS_MAX: usize = 16;
-/// Deepest nesting of expressions.
+/// Maximum nesting of expressions.
 pub const EXPRESSION_DEPTH_MAX: usize = 32;
-/// Longest string in bytes.
+/// Maximum length of a string, in bytes.
 pub const STRING_BYTES_MAX: usize = 8 * 1024;
-/// Longest array and largest map.
+/// Maximum number of elements of an array or a map.
 pub const COLLECTION_LENGTH_MAX: usize = 64;
-/// Most variables in scope.
+/// Maximum number of variables in scope, and of functions.
 pub const VARIABLES_MAX: usize = 64;
 
-/// What a program sees of a request.
+/// The parts of a request that a program can read.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestView<'a> {
-    /// The method, as sent.
+    /// Method as sent by the caller.
     pub method: &'a str,
-    /// The host name, without port, in lower case.
+    /// Host name in lower case, without port.
     pub host: &'a str,
-    /// The path, without query.
+    /// Path without query.
     pub path: &'a str,
-    /// The headers.
+    /// Headers of the request.
     pub headers: &'a HeaderMap,
 }
 
 quick_error! {
-    /// A program that does not compile, or a run that gave no decision.
+    /// Error for a program that does not compile or a run that returned no decision.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ProgramError {
-        /// The text is no program.
+        /// The text is not a valid program.
         Compile(line: usize, message: String) {
             display("line {line}: {message}")
         }
-        /// The run failed or passed a limit.
+        /// The run failed or exceeded a limit.
         Run(message: String) {
             display("{message}")
         }
-        /// The run ended, but not in a decision.
+        /// The result of the run is not a valid decision.
         Plan(error: PlanError) {
             display("{error}")
             source(error)
@@ -56,7 +56,7 @@
     }
 }
 
-/// A routing program, compiled once for each accepted document.
+/// A compiled routing program.
 pub struct Program {
     engine: Engine,
     ast: AST,
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// [`ProgramError::Compile`] with the line at fault.
+    /// [`ProgramError::Compile`] with the line of the first error.
     ///
     /// ```
     /// use http::HeaderMap;
@@ -89,11 +89,12 @@
         Ok(Self { engine, ast, reads_headers: text.contains("header") })
     }
 
-    /// Runs the program on one request.
+    /// Runs the program for one request.
     ///
     /// # Errors
     ///
-    /// [`ProgramError::Run`] or [`ProgramError::Plan`]; the request has then not run anywhere.
+    /// [`ProgramError::Run`] when the run failed, or [`ProgramError::Plan`] when its result is invalid. The
+    /// request was not run anywhere.
     pub fn decide(&self, request: &RequestView<'_>) -> Result<Plan, ProgramError> {
         let mut scope = Scope::new();
         scope.push_constant("method", ImmutableString::from(request.method));
@@ -125,7 +126,7 @@
 }
 
 fn forbidden(name: &str) -> Result<(), Box<EvalAltResult>> {
-    Err(format!("{name} is not there for programs").into())
+    Err(format!("{name} is not available to programs").into())
 }
 
 fn limited_engine() -> Engine {
@@ -140,10 +141,10 @@
     engine.set_max_variables(VARIABLES_MAX);
     engine.set_max_functions(VARIABLES_MAX);
     engine.set_max_modules(0);
-    for word in ["eval", "import", "export", "print", "debug"] {
-        engine.disable_symbol(word);
+    for symbol in ["eval", "import", "export", "print", "debug"] {
+        engine.disable_symbol(symbol);
     }
-    // The library's own would stop the whole node.
+    // The `sleep` functions of the library would block the whole node.
     engine.register_fn("sleep", |_: i64| forbidden("sleep"));
     engine.register_fn("sleep", |_: f64| forbidden("sleep"));
     engine.on_print(|_| {});
--- a/crates/laurelstall_policy/tests/programs.rs
+++ b/crates/laurelstall_policy/tests/programs.rs
@@ -1,4 +1,4 @@
-//! What programs may decide, and what hostile ones cannot do.
+//! Decisions of routing programs, and the limits that hostile programs run into.
 
 use http::{HeaderMap, HeaderValue};
 use laurelstall_policy::{
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_program_sees_the_request_and_decides() {
+fn a_program_decides_by_the_request() {
     let program = r#"
         if path.starts_with("/sell") { return #{ service: "trade", importance: 9, budget_ms: 500 }; }
         if headers.header("x-kind") == "urgent" { return #{ service: "wire", repeat: true, hedge_after_ms: 20 }; }
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn wrong_decisions_are_named() {
+fn invalid_decisions_name_the_field() {
     let field = |program| match decide(program, "/") {
         Err(ProgramError::Plan(PlanError::Field(name, _))) => name,
         other => panic!("{program}: {other:?}"),
@@ -63,21 +63,24 @@
 }
 
 #[test]
-fn programs_reach_nothing_outside() {
-    for word in ["eval(\"1\")", "import \"a\" as b", "print(1)", "sleep(0)", "sleep(0.0)"] {
-        let program = format!("{word}; #{{ service: \"a\" }}");
-        let ended = decide(&program, "/");
-        assert!(matches!(ended, Err(ProgramError::Compile(..) | ProgramError::Run(_))), "{word}: {ended:?}");
+fn programs_have_no_access_to_the_outside() {
+    for statement in ["eval(\"1\")", "import \"a\" as b", "print(1)", "sleep(0)", "sleep(0.0)"] {
+        let program = format!("{statement}; #{{ service: \"a\" }}");
+        let result = decide(&program, "/");
+        assert!(
+            matches!(result, Err(ProgramError::Compile(..) | ProgramError::Run(_))),
+            "{statement}: {result:?}"
+        );
     }
 }
 
 #[test]
-fn a_fault_is_given_with_its_line() {
+fn compile_errors_name_the_line() {
     assert!(matches!(Program::compile("let a = 1;\nlet = 2;"), Err(ProgramError::Compile(2, _))));
 }
 
 #[test]
-fn any_text_compiles_or_not_without_a_panic() {
+fn no_text_makes_the_compiler_panic() {
     bolero::check!().with_type::<String>().with_iterations(300).for_each(|text| {
         let _ = decide(text, "/");
     });
