--- a/crates/laurelstall_guard/examples/phases.rs
+++ b/crates/laurelstall_guard/examples/phases.rs
@@ -30,7 +30,7 @@
 const SLOW_FACTOR: u64 = 5;
 /// Share of the time in which it is slow.
 const SLOW_SHARE: f64 = 0.25;
-/// Share of its slots that the calls would take at the usual speed.
+/// Share of its slots that the calls would take at the normal speed.
 const LOAD: f64 = 0.5;
 /// Latency objective of a call, as a multiple of its run time.
 const OBJECTIVE_RUNS: f64 = 2.7;
--- a/crates/laurelstall_guard/src/ask.rs
+++ b/crates/laurelstall_guard/src/ask.rs
@@ -53,7 +53,7 @@
     pub may_hand_back: bool,
     /// How often the call was handed back before; each time doubles the delay before the next hand-back.
     pub hand_backs: u32,
-    /// Slowness of the target, in percent of the usual, from which the call is refused because another target
+    /// Slowness of the target, in percent of normal, from which the call is refused because another target
     /// may be faster; `None` when there is no other target.
     pub slow_from_percent: Option<u32>,
 }
@@ -69,13 +69,13 @@
     /// Whether the workspace has more calls at this guard than its share; set by the guard on admission.
     pub is_over_share: bool,
     /// Whether the call is a retry after an earlier attempt of its caller.
-    pub is_return: bool,
+    pub is_retry: bool,
 }
 
 impl Rank {
     /// Creates the rank of a call whose workspace is within its share.
-    pub fn new(importance: u8, is_return: bool) -> Self {
-        Self { importance, is_over_share: false, is_return }
+    pub fn new(importance: u8, is_retry: bool) -> Self {
+        Self { importance, is_over_share: false, is_retry }
     }
 
     /// Whether this is a nested call, which a running call waits for.
--- a/crates/laurelstall_guard/src/guard.rs
+++ b/crates/laurelstall_guard/src/guard.rs
@@ -181,7 +181,7 @@
         self.lock().limit.note_shed();
     }
 
-    /// Records how long work takes at the target now, in percent of the usual.
+    /// Records how long work takes at the target now, in percent of normal.
     pub fn note_slowness(&self, slowness_percent: u32) {
         let now_us = self.clock.now_us();
         let mut state = self.lock();
@@ -226,7 +226,7 @@
     }
 
     /// Records the result of a query that [`Guard::report_wanted`] asked for: how long work takes at the
-    /// target now, in percent of the usual, or `None` when the query failed.
+    /// target now, in percent of normal, or `None` when the query failed.
     pub fn note_look(&self, slowness_percent: Option<u32>) {
         let now_us = self.clock.now_us();
         let mut state = self.lock();
--- a/crates/laurelstall_guard/src/guard/permit.rs
+++ b/crates/laurelstall_guard/src/guard/permit.rs
@@ -17,7 +17,7 @@
     pub is_nested: bool,
     /// What its run time is measured for.
     pub sample: SampleKind,
-    /// Slowness of the target when the call started, in percent of the usual.
+    /// Slowness of the target when the call started, in percent of normal.
     pub slowness_percent: u32,
     /// Whether its run time is recorded when it ends.
     pub is_counted: bool,
--- a/crates/laurelstall_guard/src/guard/state.rs
+++ b/crates/laurelstall_guard/src/guard/state.rs
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) limit: AdaptiveLimit,
-    /// Moving average of run times at the target's usual speed, in µs.
+    /// Moving average of run times at the target's normal speed, in µs.
     pub(super) mean_run_us: f64,
     /// Whether any run was measured.
     pub(super) has_measured: bool,
@@ -403,13 +403,13 @@
         self.has_measured = true;
     }
 
-    /// Returns the mean run time of the call's class at the target's usual speed, in µs, or an assumed one.
+    /// Returns the mean run time of the call's class at the target's normal speed, in µs, or an assumed one.
     fn class_run_us(&self, request: &Ask) -> f64 {
         let known = self.limit.times().mean_us(request.class);
         known.unwrap_or_else(|| (request.useful_us as f64 * ASSUMED_RUN_SHARE).max(RUN_MIN_US))
     }
 
-    /// Returns how long work takes outside of slow phases, relative to the usual.
+    /// Returns how long work takes outside of slow phases, relative to normal.
     fn quick_factor(&self, now_us: u64) -> f64 {
         f64::from(self.speed.quick_percent(now_us)) / f64::from(USUAL_PERCENT)
     }
--- a/crates/laurelstall_guard/src/guard_load.rs
+++ b/crates/laurelstall_guard/src/guard_load.rs
@@ -9,10 +9,10 @@
     pub queued: u32,
     /// Number of requests that may run at once now.
     pub limit: u32,
-    /// Recent service time at the target's usual speed, in µs, or half the age of the oldest running call if
+    /// Recent service time at the target's normal speed, in µs, or half the age of the oldest running call if
     /// that is more.
     pub service_us: u32,
-    /// How long work takes now, in percent of the usual.
+    /// How long work takes now, in percent of normal.
     pub slowness_percent: u32,
     /// Whether the guard is draining and admits no new calls.
     pub is_draining: bool,
--- a/crates/laurelstall_guard/src/ledger.rs
+++ b/crates/laurelstall_guard/src/ledger.rs
@@ -160,7 +160,7 @@
 
     /// Ends a run that was refused before any byte reached the target, and voids the ticket.
     ///
-    /// The caller is told *not run*, so a delayed copy of the same call must not run later.
+    /// The caller is answered *not run*, so a delayed copy of the same call must not run later.
     pub fn end_not_run(&mut self, token: RunToken) {
         self.end(token, Entry::Void);
     }
--- a/crates/laurelstall_guard/src/limit_search.rs
+++ b/crates/laurelstall_guard/src/limit_search.rs
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Records the end of a call that ran `run_us` µs at the target's usual speed; `None` when the speed
+    /// Records the end of a call that ran `run_us` µs at the target's normal speed; `None` when the speed
     /// changed meanwhile or the run was not completed.
     pub fn note_end(&mut self, class: CallClass, sample: SampleKind, run_us: Option<f64>, now_us: u64) {
         let usual_us = self.times.mean_us(class);
--- a/crates/laurelstall_guard/src/pace.rs
+++ b/crates/laurelstall_guard/src/pace.rs
@@ -11,7 +11,7 @@
 /// A target is in a slow phase from this multiple of its lowest recent slowness.
 const SLOW_FACTOR: f64 = 1.5;
 /// Length of the window of the lowest slowness, in µs; two windows are remembered. Slowness that lasts
-/// longer, such as a cold start or a slow host, becomes the target's usual speed.
+/// longer, such as a cold start or a slow host, becomes the target's normal speed.
 const BEST_WINDOW_US: u64 = 1_000_000;
 /// A slow phase longer than this multiple of the mean is expected to last as long again as it has lasted.
 const LONG_PHASE_FACTOR: f64 = 3.0;
@@ -20,7 +20,7 @@
 /// Weight of a new report in the moving average of slow phases.
 const SLOW_RATIO_WEIGHT: f64 = 0.1;
 
-/// A target's report of how long its work takes, in percent of the usual.
+/// A target's report of how long its work takes, in percent of normal.
 #[derive(Debug, Clone, Copy)]
 struct Report {
     slowness_percent: u32,
@@ -53,7 +53,7 @@
 /// Forecast of a target's speed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SpeedForecast {
-    /// How long work takes outside of slow phases, relative to the usual.
+    /// How long work takes outside of slow phases, relative to normal.
     pub quick_factor: f64,
     /// How long work takes in a slow phase, relative to a quick one; above 1.
     pub slow_ratio: f64,
@@ -76,7 +76,7 @@
 }
 
 impl TargetSpeed {
-    /// Records the target's report of how long work takes, in percent of the usual.
+    /// Records the target's report of how long work takes, in percent of normal.
     pub fn note(&mut self, slowness_percent: u32, now_us: u64) {
         let accepted = slowness_percent.clamp(*ACCEPTED_PERCENT.start(), *ACCEPTED_PERCENT.end());
         let was_slow = self.report.map(|report| self.is_slow(report.slowness_percent));
@@ -94,13 +94,13 @@
         self.report = Some(Report { slowness_percent: accepted, at_us: now_us });
     }
 
-    /// Returns how long work takes now, in percent of the usual; the usual when there is no recent report.
+    /// Returns how long work takes now, in percent of normal; 100 when there is no recent report.
     pub fn slowness_percent(&self, now_us: u64) -> u32 {
         let fresh = self.report.filter(|report| now_us.saturating_sub(report.at_us) <= REPORT_AGE_MAX_US);
         fresh.map_or(USUAL_PERCENT, |report| report.slowness_percent)
     }
 
-    /// Returns how long work takes outside of slow phases, in percent of the usual.
+    /// Returns how long work takes outside of slow phases, in percent of normal.
     pub fn quick_percent(&self, now_us: u64) -> u32 {
         let is_known = self.age_us(now_us).is_some_and(|age_us| age_us <= REPORT_AGE_MAX_US);
         if is_known { self.best_percent() as u32 } else { USUAL_PERCENT }
--- a/crates/laurelstall_guard/src/refusal.rs
+++ b/crates/laurelstall_guard/src/refusal.rs
@@ -73,7 +73,7 @@
     ElsewherePaid,
 }
 
-/// What a refusal tells an entry about the target.
+/// What a refusal indicates about the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lesson {
     /// Nothing.
@@ -105,8 +105,8 @@
     pub next: NextStep,
     /// What the entry learns about the target.
     pub lesson: Lesson,
-    /// Whether the refusal proves that a ticket's call never runs, which only the guard that issued the
-    /// ticket can tell.
+    /// Whether the refusal proves that a ticket's call never runs, rather than only that this attempt did
+    /// not.
     pub proves_ticket: bool,
 }
 
@@ -184,7 +184,7 @@
     pub reason: RefusalReason,
     /// Time after which a retry at this guard makes sense, in ms; 0 when it is not known.
     pub retry_after_ms: u32,
-    /// How long work takes at the target now, in percent of the usual.
+    /// How long work takes at the target now, in percent of normal.
     pub slowness_percent: u32,
 }
 
--- a/crates/laurelstall_guard/src/start_decision.rs
+++ b/crates/laurelstall_guard/src/start_decision.rs
@@ -1,7 +1,7 @@
 //! Decides whether a call for which there is a slot starts now or is held until the target's slow phase ends.
 //!
 //! The speed of a target at the start of a call determines how long the whole call runs. A call that starts
-//! in a short slow phase occupies its slot for a multiple of the usual time and is late; one that waits for
+//! in a short slow phase occupies its slot for a multiple of the normal time and is late; one that waits for
 //! the end of the phase often finishes sooner. Both options are compared by their expected utility: the
 //! probability of an answer in time, plus a smaller utility of a late answer, less the opportunity cost of
 //! the slot.
@@ -18,7 +18,7 @@
 /// A call that could start now.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StartCandidate {
-    /// Run time of its class at the target's usual speed, in µs.
+    /// Run time of its class at the target's normal speed, in µs.
     pub run_us: f64,
     /// Remaining time in which an answer meets the latency objective, in µs.
     pub useful_us: f64,
@@ -31,7 +31,7 @@
 pub struct SlotDemand {
     /// Calls that run or wait, divided by the concurrency limit; at most 1.
     pub load: f64,
-    /// Mean run time at the target's usual speed, in µs.
+    /// Mean run time at the target's normal speed, in µs.
     pub run_us: f64,
 }
 
--- a/crates/laurelstall_guard/src/target_identity.rs
+++ b/crates/laurelstall_guard/src/target_identity.rs
@@ -77,7 +77,7 @@
     ///
     /// Until `first_report_until_us`, any instance at the address belongs to the target's service: the node's
     /// settings are made for its start, and an address is not reused for another service so soon. Later only
-    /// the list tells to which service an instance belongs.
+    /// the list shows to which service an instance belongs.
     pub fn new(first_report_until_us: u64) -> Self {
         Self {
             first_report_until_us,
@@ -124,8 +124,7 @@
         Some(doubt.until_us - now_us)
     }
 
-    /// Decides how a call may be sent now; `can_query` tells whether the instance reports its name when
-    /// queried.
+    /// Decides how a call may be sent now; `can_query` is whether the instance reports its name when queried.
     pub fn claim(&mut self, can_query: bool, now_us: u64) -> Claim {
         if let Some(wait_us) = self.refused_for_us(now_us) {
             return Claim::Refuse { wait_us };
--- a/crates/laurelstall_guard/tests/admission.rs
+++ b/crates/laurelstall_guard/tests/admission.rs
@@ -216,7 +216,7 @@
     }
 }
 
-/// Runs one call of `class` for `ms` at the target's usual speed, so that the guard knows its run time.
+/// Runs one call of `class` for `ms` at the target's normal speed, so that the guard knows its run time.
 async fn record_run(guard: &Arc<Guard>, clock: &Clock, class: u32, ms: u64) {
     let permit = guard.admit(Ask { class, ..request(clock, 5, 10_000) }).await.expect("a free slot");
     advance(Duration::from_millis(ms)).await;
@@ -246,7 +246,7 @@
     let refused = guard.admit(request).await;
     assert_eq!(reason(refused), RefusalReason::Busy);
     guard.note_slowness(100);
-    guard.admit(request).await.expect("it is in time at the usual speed");
+    guard.admit(request).await.expect("it is in time at normal speed");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/laurelstall_guard/tests/held_calls.rs
+++ b/crates/laurelstall_guard/tests/held_calls.rs
@@ -236,7 +236,7 @@
 async fn without_information_calls_run_on_a_cold_target_but_not_in_a_slow_phase() {
     let clock = Clock::new();
     let guard = Guard::new(LIMITS, clock);
-    // An entry without information about other targets accepts three times the usual slowness.
+    // An entry without information about other targets accepts three times the normal slowness.
     let without_information = Ask { slow_from_percent: Some(300), ..request(&clock) };
     guard.note_slowness(200);
     let permit = guard.admit(without_information).await.expect("a cold target takes it");
--- a/crates/laurelstall_guard/tests/start_decision.rs
+++ b/crates/laurelstall_guard/tests/start_decision.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn lasting_slowness_becomes_the_usual_speed() {
+fn lasting_slowness_becomes_the_normal_speed() {
     let mut speed = TargetSpeed::default();
     let mut now_us = 1_000 * MS_US;
     speed.note(100, now_us);
