--- a/crates/laurelstall_guard/src/guard.rs
+++ b/crates/laurelstall_guard/src/guard.rs
@@ -240,8 +240,8 @@
 
     /// Waits until a new load report of the target would help to decide about a queued call.
     ///
-    /// The task that awaits this then queries the target and passes the result to [`Guard::note_look`]; calls
-    /// wait for it.
+    /// The task that awaits this then queries the target and passes the result to
+    /// [`Guard::note_look`]; calls wait for it.
     ///
     /// Meanwhile this method decides again about held calls whose target cannot be queried, as the last
     /// report ages.
--- a/crates/laurelstall_guard/src/guard/state.rs
+++ b/crates/laurelstall_guard/src/guard/state.rs
@@ -232,7 +232,7 @@
         let refused = if is_accepted { None } else { self.refusal_by_speed(request, now_us) };
         match refused {
             Some(reason) => SlotDecision::Refuse(reason),
-            None if self.is_better_started(request, now_us) => SlotDecision::Start,
+            None if self.should_start(request, now_us) => SlotDecision::Start,
             None => SlotDecision::Hold,
         }
     }
@@ -247,7 +247,7 @@
 
     /// Returns whether a new call may start at once instead of being queued.
     pub(super) fn may_start(&self, request: &Ask, now_us: u64) -> bool {
-        self.queue.is_empty() && self.has_room(request, now_us) && self.is_better_started(request, now_us)
+        self.queue.is_empty() && self.has_room(request, now_us) && self.should_start(request, now_us)
     }
 
     /// Returns whether the call should try another target because this one is in a slow phase.
@@ -278,7 +278,7 @@
         SlotDemand { load, run_us: self.mean_run_us }
     }
 
-    fn is_better_started(&self, request: &Ask, now_us: u64) -> bool {
+    fn should_start(&self, request: &Ask, now_us: u64) -> bool {
         !self.limits.may_hold || self.forecast(request, now_us).decision == StartDecision::Start
     }
 
--- a/crates/laurelstall_guard/tests/target_identity.rs
+++ b/crates/laurelstall_guard/tests/target_identity.rs
@@ -72,8 +72,8 @@
         match identity.claim(true, now_us) {
             Claim::Ask => {
                 queries += 1;
-                let claim = report(&mut identity, Some("new"), now_us);
-                assert!(matches!(claim, Claim::Refuse { .. }));
+                let decision = report(&mut identity, Some("new"), now_us);
+                assert!(matches!(decision, Claim::Refuse { .. }));
             }
             Claim::Refuse { .. } => {}
             Claim::SendAs(name) => panic!("sent as {name}"),
@@ -92,11 +92,11 @@
         identity.note_denied("old", LATE_US);
         let mut sent = 0;
         for now_us in (LATE_US..LATE_US + 10_000_000).step_by(1_000) {
-            let mut claim = identity.claim(can_query, now_us);
-            if claim == Claim::Ask {
-                claim = report(&mut identity, Some("old"), now_us);
+            let mut decision = identity.claim(can_query, now_us);
+            if decision == Claim::Ask {
+                decision = report(&mut identity, Some("old"), now_us);
             }
-            if let Claim::SendAs(name) = claim {
+            if let Claim::SendAs(name) = decision {
                 sent += 1;
                 identity.note_denied(&name, now_us + 500);
             }
@@ -141,11 +141,11 @@
     identity.note_denied("old", LATE_US + 1_000);
     let mut sent = 0;
     for now_us in (LATE_US + 1_000..LATE_US + 10_000_000).step_by(1_000) {
-        let mut claim = identity.claim(true, now_us);
-        if claim == Claim::Ask {
-            claim = report(&mut identity, Some("new"), now_us);
+        let mut decision = identity.claim(true, now_us);
+        if decision == Claim::Ask {
+            decision = report(&mut identity, Some("new"), now_us);
         }
-        sent += u32::from(matches!(claim, Claim::SendAs(_)));
+        sent += u32::from(matches!(decision, Claim::SendAs(_)));
     }
     assert_eq!(sent, 0);
 }
