--- a/crates/laurelstall_balance/src/baseline.rs
+++ b/crates/laurelstall_balance/src/baseline.rs
@@ -1,13 +1,13 @@
-//! Ways to choose that the product is measured against.
+//! Baseline algorithms, with which the product's own one is compared.
 
 use crate::chooser::{Candidate, Choice, Chooser, ChoosingContext};
 use rand::RngExt;
 use std::{fmt, sync::Arc};
 
-/// Age of the reports that [`LeastStale`] sees, in µs.
+/// Interval in µs in which [`LeastStale`] reads the loads.
 pub const REPORT_INTERVAL_US: u64 = 100_000;
 
-/// Any target, with equal chance.
+/// Chooses a target uniformly at random.
 #[derive(Debug, Default)]
 pub struct Random;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// One target after the other.
+/// Chooses one target after the other.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The better of two targets by this entry's own calls in flight.
+/// Chooses the one of two random targets with fewer calls of this entry node in flight.
 #[derive(Debug, Default)]
 pub struct TwoChoices;
 
@@ -65,16 +65,16 @@
     }
 }
 
-/// True loads, as only a single process that runs all targets can know them.
+/// The true loads of all targets, known only to a single process that runs them all.
 pub trait TrueLoads: Send + Sync {
-    /// Expected time at `target` in µs at this instant.
+    /// The expected time of a call at `target` now, in µs.
     fn expected_us(&self, target: &str) -> f64;
 
-    /// Notes that a call is on its way to `target`, so that the next choice counts it.
+    /// Records that a call is being sent to `target`, so that the next choice counts it.
     fn note_chosen(&self, target: &str);
 }
 
-/// The least loaded target by a report of up to [`REPORT_INTERVAL_US`] ago.
+/// Chooses the least loaded target by loads that are up to [`REPORT_INTERVAL_US`] old.
 pub struct LeastStale {
     loads: Arc<dyn TrueLoads>,
     reports: Vec<(String, f64)>,
@@ -82,12 +82,12 @@
 }
 
 impl LeastStale {
-    /// Takes reports from `loads`.
+    /// Creates a chooser that reads `loads` once per interval.
     pub fn new(loads: Arc<dyn TrueLoads>) -> Self {
         Self { loads, reports: Vec::new(), taken_at_us: None }
     }
 
-    fn reported(&self, name: &str) -> f64 {
+    fn reported_load(&self, name: &str) -> f64 {
         let report = self.reports.iter().find(|(other, _)| other == name);
         report.map_or(0.0, |(_, load)| *load)
     }
@@ -105,17 +105,17 @@
             self.reports = candidates.iter().map(report).collect();
             self.taken_at_us = Some(context.now_us);
         }
-        least(candidates, |name| self.reported(name))
+        least_loaded(candidates, |name| self.reported_load(name))
     }
 }
 
-/// The best target by its true load at this instant.
+/// Chooses the target with the lowest true load.
 pub struct Oracle {
     loads: Arc<dyn TrueLoads>,
 }
 
 impl Oracle {
-    /// Reads loads from `loads`.
+    /// Creates a chooser that reads `loads` for each call.
     pub fn new(loads: Arc<dyn TrueLoads>) -> Self {
         Self { loads }
     }
@@ -127,16 +127,16 @@
     }
 
     fn choose(&mut self, candidates: &[Candidate<'_>], _: &mut ChoosingContext<'_>) -> Option<Choice> {
-        let choice = least(candidates, |name| self.loads.expected_us(name))?;
+        let choice = least_loaded(candidates, |name| self.loads.expected_us(name))?;
         let chosen = candidates.iter().find(|candidate| candidate.index == choice.index)?;
         self.loads.note_chosen(&chosen.view.name);
         Some(choice)
     }
 }
 
-fn least(candidates: &[Candidate<'_>], load: impl Fn(&str) -> f64) -> Option<Choice> {
-    let weighed = candidates.iter().map(|c| (c.index, load(&c.view.name)));
-    let (index, _) = weighed.min_by(|a, b| a.1.total_cmp(&b.1))?;
+fn least_loaded(candidates: &[Candidate<'_>], load: impl Fn(&str) -> f64) -> Option<Choice> {
+    let loads = candidates.iter().map(|c| (c.index, load(&c.view.name)));
+    let (index, _) = loads.min_by(|a, b| a.1.total_cmp(&b.1))?;
     Some(Choice::by_rule(index))
 }
 
--- a/crates/laurelstall_balance/src/chooser.rs
+++ b/crates/laurelstall_balance/src/chooser.rs
@@ -1,26 +1,26 @@
-//! The border behind which ways to choose a target vary.
+//! The interface of algorithms that choose a target.
 
 use crate::target_view::TargetView;
 use rand::rngs::SmallRng;
 use std::fmt;
 
-/// One target that a call may go to.
+/// A target that may be chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Its place in the service's list.
+    /// The target's index in the service's list.
     pub index: usize,
-    /// What the entry knows of it.
+    /// The state of the target as the entry node knows it.
     pub view: &'a TargetView,
 }
 
 /// Why a target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// It was the only one left.
+    /// It was the only candidate.
     Only,
-    /// Its expected time was the least of those weighed.
+    /// It had the lowest expected cost of those compared.
     LeastWait,
-    /// The way of choosing does not weigh targets.
+    /// The algorithm does not compare expected times.
     Rule,
 }
 
@@ -37,55 +37,55 @@
 /// A chosen target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Choice {
-    /// Its place in the service's list.
+    /// The target's index in the service's list.
     pub index: usize,
-    /// Why it was chosen.
+    /// Why the target was chosen.
     pub reason: Reason,
-    /// Its expected time in µs, where the way of choosing has one.
+    /// The expected cost of this target in µs; 0 when the algorithm computes none.
     pub score_us: f64,
-    /// The next best that was weighed, with its expected time in µs.
+    /// Index and expected cost in µs of the second best target, if any was compared.
     pub runner_up: Option<(usize, f64)>,
 }
 
 impl Choice {
-    /// A choice by rule, without scores.
+    /// Creates a choice without expected costs.
     pub fn by_rule(index: usize) -> Self {
         Self { index, reason: Reason::Rule, score_us: 0.0, runner_up: None }
     }
 }
 
-/// What a choice may take into account besides the candidates.
+/// State of the service and the call that a choice takes into account.
 #[derive(Debug)]
 pub struct ChoosingContext<'a> {
-    /// Now, in µs of the entry's monotonic clock.
+    /// The current time in µs of the entry node's monotonic clock.
     pub now_us: u64,
-    /// Ramp of new targets in µs.
+    /// Duration of the slow start of new targets in µs.
     pub slow_start_us: u64,
-    /// The service's usual service time in µs, for targets that said nothing yet.
+    /// Mean service time of the service in µs, for targets without a fresh hint.
     pub usual_us: f64,
-    /// The usual time of calls of this class in µs, if any came back.
+    /// Mean service time of calls of this class in µs; `None` before the first answer.
     pub class_us: Option<f64>,
-    /// Time left in which the answer has its full worth in µs, if anything says so.
+    /// Remaining time in µs in which the answer has its full value; `None` without a latency objective.
     pub useful_us: Option<f64>,
-    /// Whether leaving the data centre costs nothing now.
+    /// Whether the cost of a remote data centre is waived.
     pub may_leave_free: bool,
-    /// The service's usual share of slots in use, for the same.
+    /// Mean share of slots in use, for targets without a fresh hint.
     pub usual_load: f64,
-    /// Own calls in flight at each target of the service, on average.
+    /// Mean number of this entry node's calls in flight per target of the service.
     pub own_mean: f64,
-    /// Randomness.
+    /// Source of random choices.
     pub rng: &'a mut SmallRng,
 }
 
-/// A way to choose one of several targets.
+/// An algorithm that chooses one of several targets.
 pub trait Chooser: Send {
     /// The name used in settings and reports.
     fn name(&self) -> &'static str;
 
-    /// Chooses one of `candidates`; none when there are none.
+    /// Chooses one of `candidates`; `None` when there are none.
     fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoosingContext<'_>) -> Option<Choice>;
 
-    /// Whether guards should queue without limit and never hand back, as plain balancers do.
+    /// Whether guards should queue without limit and never hand back, as behind a baseline balancer.
     fn is_plain(&self) -> bool {
         true
     }
--- a/crates/laurelstall_balance/src/ejection.rs
+++ b/crates/laurelstall_balance/src/ejection.rs
@@ -1,58 +1,59 @@
-//! Taking a target that fails or crawls out of the choice, and letting it back in slowly.
+//! Ejection of a failing or slow target, and the slow start when it is back.
 
-/// Longest ejection as a multiple of the first.
+/// Number of times that the duration of an ejection doubles at most.
 const EJECTION_GROWTH_MAX: u32 = 5;
-/// Share of full traffic at the start of a ramp.
+/// Share of its full traffic that a target gets at the beginning of the slow start.
 const RAMP_START: f64 = 0.1;
 
-/// Whether a target is out, and how far it has ramped up since it came in.
+/// The ejection and slow start state of a target.
 #[derive(Debug, Clone)]
 pub struct Ejection {
     until_us: u64,
     ramp_from_us: u64,
+    /// Ejections in a row.
     times: u32,
 }
 
 impl Ejection {
-    /// A target that ramps up from `now_us`.
+    /// Creates the state of a target that ramps up from `now_us`.
     pub fn new(now_us: u64) -> Self {
         Self { until_us: 0, ramp_from_us: now_us, times: 0 }
     }
 
-    /// A target that takes its full share at once, for those known at the entry's start.
+    /// Creates the state of a target that gets its full traffic at once, as those of the first list do.
     pub fn without_ramp() -> Self {
         Self { until_us: 0, ramp_from_us: 0, times: 0 }
     }
 
-    /// Whether the target is out.
+    /// Whether the target is ejected.
     pub fn is_out(&self, now_us: u64) -> bool {
         now_us < self.until_us
     }
 
-    /// Until when the target is out, in µs; past or 0 when it is in.
+    /// The time in µs at which the last ejection ends; 0 when there was none.
     pub fn until_us(&self) -> u64 {
         self.until_us
     }
 
-    /// Ejects the target, each time for twice as long as before up to a bound.
+    /// Ejects the target for `first_us`, or twice as long as the last time up to a limit.
     pub fn eject(&mut self, now_us: u64, first_us: u64) {
-        let out_us = first_us << self.times.min(EJECTION_GROWTH_MAX);
-        self.until_us = now_us + out_us;
+        let duration_us = first_us << self.times.min(EJECTION_GROWTH_MAX);
+        self.until_us = now_us + duration_us;
         self.ramp_from_us = self.until_us;
         self.times += 1;
     }
 
-    /// Forgets past ejections once the target has served well for a while.
+    /// Resets the number of ejections after the target has served calls successfully for a while.
     pub fn note_recovered(&mut self) {
         self.times = 0;
     }
 
-    /// Times it was ejected in a row.
+    /// Number of ejections in a row.
     pub fn times(&self) -> u32 {
         self.times
     }
 
-    /// Share of full traffic that the target takes now, 0.1 to 1.
+    /// Share of its full traffic that the target gets now, 0.1 to 1.
     pub fn ramp(&self, now_us: u64, slow_start_us: u64) -> f64 {
         if slow_start_us == 0 || self.ramp_from_us == 0 {
             return 1.0;
--- a/crates/laurelstall_balance/src/hint.rs
+++ b/crates/laurelstall_balance/src/hint.rs
@@ -1,34 +1,34 @@
-//! What a guard says of its target, carried on answers and probes.
+//! Load hints: what a guard reports about its target with answers and probes.
 
-/// Bytes that a hint takes on the wire at most, as counted against the observing budget.
+/// Largest size of a hint on the wire in bytes, as charged to the probing budget.
 pub const HINT_BYTES: u64 = 24;
 
-/// Work that takes as long as usual.
+/// Slowness of a target that runs at normal speed, in percent of its normal service time.
 pub const USUAL_PERCENT: u32 = 100;
 
 /// Whether a target takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
-    /// It does.
+    /// The target takes new requests.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// The target finishes its running requests and takes no new ones.
     Draining,
 }
 
-/// A guard's word on its own target, true at the instant it was made.
+/// A guard's report on the load of its target at one instant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hint {
-    /// Low half of the guard's start: a new one means a replaced or restarted process.
+    /// Low half of the guard's start time; it changes when the process is replaced or restarted.
     pub incarnation: u32,
-    /// Requests running at the target.
+    /// Number of requests running at the target.
     pub in_flight: u32,
-    /// Requests waiting at the guard.
+    /// Number of requests waiting in the guard's queue.
     pub queued: u32,
-    /// Requests that may run at once now.
+    /// Current concurrency limit: the number of requests that may run at once.
     pub limit: u32,
-    /// Recent service time at the target's usual pace in µs.
+    /// Recent service time at the target's normal speed in µs.
     pub service_us: u32,
-    /// How long work takes there now, in percent of the usual.
+    /// Current service time in percent of the normal one.
     pub slowness_percent: u32,
     /// Whether the target takes new requests.
     pub state: TargetState,
--- a/crates/laurelstall_balance/src/lib.rs
+++ b/crates/laurelstall_balance/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry's decisions: which target a call goes to, whether it may be tried again or hedged,
-//! and how much may be spent on observing targets.
+//! Decisions of an entry node, the node that receives a call: which target the call goes to, whether it may be
+//! retried, hedged or rerouted, and how much traffic may be spent on probing targets.
 //!
-//! Everything here is plain data under a caller's lock; time is passed in as µs of a monotonic
-//! clock, so that tests and long random runs need no real time.
+//! The types hold plain data and have no locks of their own. Time is passed in as µs of a monotonic clock, so tests
+//! and simulations need no real time.
 
 pub mod baseline;
 pub mod chooser;
@@ -19,7 +19,7 @@
 pub mod target_view;
 pub mod usual_budgets;
 
-/// The types most callers need.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::{
         chooser::{Candidate, Choice, Chooser, Reason},
--- a/crates/laurelstall_balance/src/observe_budget.rs
+++ b/crates/laurelstall_balance/src/observe_budget.rs
@@ -1,19 +1,18 @@
-//! The hard budget for observing targets.
+//! The hard limit on traffic for probing targets.
 
-/// What one act of observing costs, both directions counted.
+/// The cost of one probe in both directions together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ObserveCost {
-    /// Bytes, framing included.
+    /// Number of bytes, framing included.
     pub bytes: u64,
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
 }
 
-/// A budget that no window of one second ever exceeds.
+/// A limit that is not exceeded in any window of one second.
 ///
-/// It is a token bucket whose burst is part of the rate: burst plus a second's refill is the
-/// budget, so the bound holds for every window and not only on average. Tokens are taken before
-/// anything is sent; with none left, nothing is sent.
+/// It is a pair of token buckets whose burst is part of the rate: burst and refill of a second add up to the limit, so
+/// it holds for every window and not only on average. Tokens are taken before a probe is sent.
 #[derive(Debug, Clone)]
 pub struct ObserveBudget {
     bytes: Bucket,
@@ -24,7 +23,7 @@
 }
 
 impl ObserveBudget {
-    /// A budget of so many bytes and messages a second, starting full.
+    /// Creates a full budget of this many bytes and messages a second.
     pub fn new(bytes_per_s: u64, messages_per_s: u64) -> Self {
         Self {
             bytes: Bucket::new(bytes_per_s, BYTES_BURST_MIN),
@@ -35,15 +34,15 @@
         }
     }
 
-    /// Changes the rates; nothing is given back and no new burst is granted.
+    /// Changes the rates without adding tokens.
     pub fn set_rates(&mut self, bytes_per_s: u64, messages_per_s: u64) {
         self.bytes.set_rate(bytes_per_s, BYTES_BURST_MIN);
         self.messages.set_rate(messages_per_s, 1);
     }
 
-    /// Takes `cost` if `share_percent` of the budget still covers it.
+    /// Takes `cost` if the tokens cover it, and returns whether they do.
     ///
-    /// A share below 100 leaves the rest of the burst to calls with a larger share.
+    /// A `share_percent` below 100 leaves the rest of the burst to requests with a larger share.
     pub fn try_take(&mut self, now_us: u64, cost: ObserveCost, share_percent: u8) -> bool {
         let has_bytes = self.bytes.covers(now_us, cost.bytes, share_percent);
         let has_messages = self.messages.covers(now_us, cost.messages, share_percent);
@@ -58,25 +57,25 @@
         true
     }
 
-    /// Bytes spent since the start.
+    /// Number of bytes taken since the start.
     pub fn spent_bytes(&self) -> u64 {
         self.spent_bytes
     }
 
-    /// Messages spent since the start.
+    /// Number of messages taken since the start.
     pub fn spent_messages(&self) -> u64 {
         self.spent_messages
     }
 
-    /// Requests to spend that were refused.
+    /// Number of probes refused since the start.
     pub fn refused(&self) -> u64 {
         self.refused
     }
 }
 
-/// Least burst in bytes: room for one probe and its answer.
+/// Smallest burst in bytes: one probe and its answer.
 const BYTES_BURST_MIN: u64 = 320;
-/// Share of a second's budget that is granted as burst.
+/// The burst is the rate of one second divided by this.
 const BURST_DIVISOR: u64 = 10;
 
 #[derive(Debug, Clone)]
@@ -84,7 +83,7 @@
     burst: u64,
     refill_per_s: u64,
     tokens: u64,
-    /// Refill not yet worth a whole token, in token·µs.
+    /// Refill that does not make up a whole token yet, in token·µs.
     remainder: u64,
     filled_at_us: u64,
 }
@@ -98,29 +97,29 @@
     }
 
     fn set_rate(&mut self, rate_per_s: u64, burst_min: u64) {
-        // Never the whole budget: what is not refilled is spent once and never again.
-        let most = rate_per_s.div_ceil(2);
-        self.burst = (rate_per_s / BURST_DIVISOR).max(burst_min).min(most);
+        // A burst of the whole rate would leave nothing for the refill, so the bucket would stay empty.
+        let burst_max = rate_per_s.div_ceil(2);
+        self.burst = (rate_per_s / BURST_DIVISOR).max(burst_min).min(burst_max);
         self.refill_per_s = rate_per_s - self.burst;
         self.tokens = self.tokens.min(self.burst);
     }
 
     fn covers(&mut self, now_us: u64, amount: u64, share_percent: u8) -> bool {
-        self.fill(now_us);
-        let kept_back = self.burst * u64::from(100 - share_percent.min(100)) / 100;
-        self.tokens >= amount.saturating_add(kept_back) || amount == 0
+        self.refill(now_us);
+        let reserved = self.burst * u64::from(100 - share_percent.min(100)) / 100;
+        self.tokens >= amount.saturating_add(reserved) || amount == 0
     }
 
     fn take(&mut self, amount: u64) {
         self.tokens -= amount;
     }
 
-    fn fill(&mut self, now_us: u64) {
+    fn refill(&mut self, now_us: u64) {
         let passed_us = now_us.saturating_sub(self.filled_at_us);
         self.filled_at_us = self.filled_at_us.max(now_us);
-        let gained = passed_us.saturating_mul(self.refill_per_s).saturating_add(self.remainder);
-        self.remainder = gained % 1_000_000;
-        self.tokens = (self.tokens + gained / 1_000_000).min(self.burst);
+        let refill = passed_us.saturating_mul(self.refill_per_s).saturating_add(self.remainder);
+        self.remainder = refill % 1_000_000;
+        self.tokens = (self.tokens + refill / 1_000_000).min(self.burst);
         if self.tokens == self.burst {
             self.remainder = 0;
         }
--- a/crates/laurelstall_balance/src/recent_count.rs
+++ b/crates/laurelstall_balance/src/recent_count.rs
@@ -1,36 +1,36 @@
-//! How many events there were lately.
+//! Counts events in a sliding window.
 
-/// Length of one part of the window in µs.
-const PART_US: u64 = 1_000_000;
-/// Parts of the window: ten seconds, the time over which users bound what is repeated.
-const PARTS: usize = 10;
+/// Length of one bucket of the window in µs.
+const BUCKET_US: u64 = 1_000_000;
+/// Number of buckets: the window of the budgets for extra attempts is ten seconds.
+const BUCKETS: usize = 10;
 
-/// Counts events of the last ten seconds, to the second.
+/// Counts the events of the last ten seconds with a resolution of one second.
 #[derive(Debug, Clone, Default)]
 pub struct RecentCount {
-    counts: [u32; PARTS],
-    /// The second that was counted in last, since the clock's start.
+    counts: [u32; BUCKETS],
+    /// Index of the current bucket: seconds since the start of the clock.
     last: u64,
 }
 
 impl RecentCount {
     /// Counts one event.
     pub fn note(&mut self, now_us: u64) {
-        self.forget_old(now_us);
-        self.counts[(self.last % PARTS as u64) as usize] += 1;
+        self.clear_old(now_us);
+        self.counts[(self.last % BUCKETS as u64) as usize] += 1;
     }
 
-    /// Events in the window that ends now.
+    /// The number of events in the window that ends at `now_us`.
     pub fn count(&mut self, now_us: u64) -> u32 {
-        self.forget_old(now_us);
+        self.clear_old(now_us);
         self.counts.iter().sum()
     }
 
-    fn forget_old(&mut self, now_us: u64) {
-        let now = now_us / PART_US;
-        let passed = now.saturating_sub(self.last).min(PARTS as u64);
-        for part in 0..passed {
-            self.counts[((now - part) % PARTS as u64) as usize] = 0;
+    fn clear_old(&mut self, now_us: u64) {
+        let now = now_us / BUCKET_US;
+        let passed = now.saturating_sub(self.last).min(BUCKETS as u64);
+        for age in 0..passed {
+            self.counts[((now - age) % BUCKETS as u64) as usize] = 0;
         }
         self.last = self.last.max(now);
     }
--- a/crates/laurelstall_balance/src/service_balancer.rs
+++ b/crates/laurelstall_balance/src/service_balancer.rs
@@ -1,4 +1,4 @@
-//! One entry's decisions for one service.
+//! Load balancing of one entry node for one service.
 
 use crate::{
     chooser::{Candidate, Choice, Chooser, ChoosingContext},
@@ -19,121 +19,120 @@
 
 pub use ejecting::Ejected;
 pub use spending::BalancerTotals;
-use spending::retry_part;
+use spending::reserve_per_entry;
 
-/// Hedges that a quiet service may make in ten seconds beyond what it earns: it starts with one.
+/// Hedges per ten seconds that are allowed beyond the percentage of calls, so that a quiet service can hedge at all.
 const HEDGE_RESERVE: f64 = 2.5;
-/// Calls that may ask another guard after one that has no room, as a share of all calls in percent: a burst passes,
-/// an overload does not turn into traffic.
-const MOVE_PERCENT: u32 = 10;
-/// Such moves in ten seconds besides: an entry starts with four.
-const MOVE_RESERVE: f64 = 10.0;
-/// Weight of a new sample in the service's usual service time and load.
-const USUAL_WEIGHT: f64 = 0.02;
-/// Assumed service time before anything is known, in µs.
-const USUAL_START_US: f64 = 5_000.0;
-/// A call that was handed back says that about one call for so many slots waits there.
-const HANDED_BACK_SLOTS: u32 = 2;
-/// Load of the own data centre from which targets are asked before a call is placed: below, waits are short
-/// wherever it goes.
-const ASKED_FROM_LOAD: f64 = 0.4;
-/// Age of a target's last word from which it is asked anew, in µs: what it runs changes within about a run time.
-const ASKED_FROM_AGE_US: u64 = 50_000;
-/// Largest load of a target that is told apart: two waves of calls, one of which waits.
+/// Calls that may be rerouted to another guard after one without a free slot, in percent of all calls. The limit
+/// absorbs a burst and keeps an overload from multiplying traffic.
+const REROUTE_PERCENT: u32 = 10;
+/// Reroutes per ten seconds that are allowed beyond that percentage.
+const REROUTE_RESERVE: f64 = 10.0;
+/// Weight of a new sample in the service's mean service time and mean load.
+const MEAN_WEIGHT: f64 = 0.02;
+/// Service time that is assumed before the first sample, in µs.
+const INITIAL_SERVICE_US: f64 = 5_000.0;
+/// Slots per queued call that are assumed at a target whose guard handed a call back.
+const SLOTS_PER_QUEUED_CALL: u32 = 2;
+/// Load of the local data centre from which targets are queried before a call is placed. Below it, queues are short
+/// at every target.
+const QUERY_LOAD_MIN: f64 = 0.4;
+/// Age in µs from which a target's hint is refreshed by a query: about the time in which its load changes.
+const QUERY_HINT_AGE_US: u64 = 50_000;
+/// Cap on the load of a target in the comparison of data centres: all slots are in use and as many calls wait.
 const LOAD_MAX: f64 = 2.0;
-/// Age up to which a hint tells whether its target queues, in µs.
+/// Age in µs up to which a hint tells whether its target has a queue.
 const QUEUEING_HINT_AGE_US: u64 = 1_000_000;
 
-/// Multiple of what is usual among the targets from which one of them is slow.
+/// Multiple of the slowness of the service's quicker targets from which a target counts as slow.
 const SLOW_FACTOR: u32 = 2;
-/// The same while too few of them have said how slow they are, of the usual pace: after a start of the whole fleet all
-/// targets take about twice the usual time, and a neighbour that steals capacity makes it four times or more.
-///
-/// With 2, an entry's first calls after such a start were refused up to eight times each; with the target's own quick
-/// pace in its place, guards that had just started took calls in slow phases that they did not know as such.
+/// Multiple of normal service time from which a target counts as slow while too few targets have recent hints. After a
+/// start of the whole fleet all targets take about twice the normal time; a noisy neighbour makes it four times or
+/// more.
 const SLOW_FACTOR_UNKNOWN: u32 = 3;
-/// Age up to which a word on a target's slowness counts for what is usual, in µs: an entry of a large fleet hears of
-/// a service two or three times a second, and after a start of the whole fleet all targets are slow for seconds.
+/// Age in µs up to which a hint counts for the slowness of the service. An entry node of a large fleet receives only
+/// two or three hints a second for a service.
 const SLOWNESS_AGE_MAX_US: u64 = 2_000_000;
-/// Fewest such words that tell what is usual; with fewer, one slow target could pass for all.
-const SLOWNESS_WORDS_MIN: usize = 3;
-/// Share of the targets that are taken to work at the usual pace: one in so many.
-const USUAL_PACE_SHARE: usize = 4;
+/// Recent hints that are needed to tell how slow the service is. With fewer, one slow target could stand for all.
+const SLOWNESS_HINTS_MIN: usize = 3;
+/// One in this many targets, the quickest ones, is taken to run at the service's current speed.
+const QUICK_TARGETS_DIVISOR: usize = 4;
 
-/// Longest time for which a cold target is left out after a refusal, in µs: it has a place about every 40 ms, and what
-/// others take of them is not known here.
-const NO_PLACE_MAX_US: u64 = 60_000;
+/// Longest time in µs for which a cold target is left out after its guard refused a call for its cold-start rate
+/// limit. Such a target admits a call about every 40 ms, and other entry nodes use that rate too.
+const COLD_PAUSE_MAX_US: u64 = 60_000;
 
-/// Run times after which a call comes back that found all targets busy.
+/// Mean service times after which the caller of a call that found all targets busy should retry.
 const RETRY_AFTER_RUNS: f64 = 4.0;
-/// Shortest time that a caller is told to stay away when no target can take its call, in ms.
+/// Shortest retry-after time in ms for a call that no target can take.
 const RETRY_AFTER_MIN_MS: u64 = 100;
-/// Longest such time in ms: what is known of targets is out of date after it.
+/// Longest retry-after time in ms: later, what is known of the targets is out of date.
 const RETRY_AFTER_MAX_MS: u64 = 5_000;
 
-/// How an attempt ended, as far as it tells something of the target.
+/// The result of an attempt, as far as it concerns the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The target answered well, after so many µs.
+    /// The target answered successfully after this many µs.
     Good(u64),
-    /// The target answered with an error, or the attempt broke.
+    /// The target answered with an error, or the connection broke.
     Failed,
-    /// The guard refused or handed back: nothing is known of the target but the hint.
+    /// The guard refused the attempt or handed it back, so the target did not run it.
     NotRun,
-    /// This entry gave up on it, as with a lost hedge.
+    /// This entry node cancelled the attempt, for example because the other attempt of a hedge won.
     Cancelled,
 }
 
-/// What a call asks of a choice.
+/// Constraints that a call puts on the choice of its target.
 #[derive(Debug, Clone, Copy)]
 pub struct Choosing<'a> {
-    /// Places of targets that refused this call already.
+    /// Indices of targets that already refused this call.
     pub excluded: &'a [usize],
-    /// The one target that it must go to, for a ticket.
+    /// The name of the only allowed target, for a call with a ticket.
     pub only: Option<&'a str>,
-    /// The data centres that it may be served in; none for all.
+    /// The data centres that may serve the call; `None` allows all.
     pub data_centres: Option<&'a [String]>,
     /// The class of the call.
     pub class: CallClass,
-    /// Time left in which the answer has its full worth in µs; none when nothing says so.
+    /// Remaining time in µs in which the answer has its full value; `None` without a latency objective.
     pub useful_us: Option<u64>,
-    /// Whether leaving the data centre costs nothing: targets refused the call for their load, and it
-    /// would be lost here.
+    /// Whether the cost of a remote data centre is waived, because local targets refused the call for overload.
     pub may_leave_free: bool,
-    /// Now, in µs of the entry's monotonic clock.
+    /// The current time in µs of the entry node's monotonic clock.
     pub now_us: u64,
 }
 
 impl Choosing<'_> {
-    /// Whether the call may be served in a data centre.
-    fn may_be_in(&self, data_centre: &str) -> bool {
+    /// Whether the call may be served in `data_centre`.
+    fn allows_data_centre(&self, data_centre: &str) -> bool {
         self.data_centres.is_none_or(|allowed| allowed.iter().any(|name| name == data_centre))
     }
 }
 
-/// What an entry knows and decides of one service.
+/// The load balancing state of one entry node for one service.
 pub struct ServiceBalancer {
     targets: Vec<TargetView>,
-    /// Own calls in flight at all targets together.
+    /// This entry node's calls in flight at all targets together.
     in_flight: u32,
     limits: ServiceLimits,
-    /// Entries that share the reserve for retries.
+    /// Number of entry nodes that share the reserve for retries.
     entries: usize,
     chooser: Box<dyn Chooser>,
     retries: ShareBudget,
     foremost: ForemostCalls,
-    moves: ShareBudget,
+    reroutes: ShareBudget,
     hedges: ShareBudget,
-    usual_us: f64,
-    usual_load: f64,
-    times: ClassTimes,
+    /// Moving average of the latency of successful attempts, in µs.
+    mean_us: f64,
+    /// Moving average of the share of slots in use, queued calls included.
+    mean_load: f64,
+    class_times: ClassTimes,
     spill: Spill,
     ejections: u64,
     rng: SmallRng,
 }
 
 impl ServiceBalancer {
-    /// A balancer without targets; `seed` makes its random choices repeatable.
+    /// Creates a balancer without targets; `seed` makes its random choices reproducible.
     pub fn new(limits: ServiceLimits, chooser: Box<dyn Chooser>, seed: u64) -> Self {
         Self {
             targets: Vec::new(),
@@ -141,28 +140,28 @@
             limits,
             entries: 1,
             chooser,
-            retries: ShareBudget::new(limits.retry_percent, retry_part(&limits, 1)),
+            retries: ShareBudget::new(limits.retry_percent, reserve_per_entry(&limits, 1)),
             foremost: ForemostCalls::default(),
-            moves: ShareBudget::new(MOVE_PERCENT, MOVE_RESERVE),
+            reroutes: ShareBudget::new(REROUTE_PERCENT, REROUTE_RESERVE),
             hedges: ShareBudget::new(limits.hedge_percent, HEDGE_RESERVE),
-            usual_us: USUAL_START_US,
-            usual_load: 0.5,
-            times: ClassTimes::default(),
+            mean_us: INITIAL_SERVICE_US,
+            mean_load: 0.5,
+            class_times: ClassTimes::default(),
             spill: Spill::default(),
             ejections: 0,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Puts a new list of targets in place; what is known of those that stay is kept.
+    /// Replaces the list of targets and keeps the state of those that stay.
     ///
-    /// A target that joins a running service ramps up; the first list of all does not.
+    /// A target that joins a running service ramps up; the targets of the first list do not.
     pub fn set_targets(&mut self, limits: ServiceLimits, listed: Vec<TargetView>) {
         let is_first = self.targets.is_empty();
         let old = std::mem::take(&mut self.targets).into_iter();
         let mut old = old.map(|view| (view.name.clone(), view)).collect::<HashMap<_, _>>();
         for mut view in listed {
-            if let Some(mut kept) = old.remove(&view.name).filter(|known| known.host == view.host) {
+            if let Some(mut kept) = old.remove(&view.name).filter(|old_view| old_view.host == view.host) {
                 if kept.is_restarted_as(&view) {
                     view.take_in_flight(&kept);
                     self.targets.push(view);
@@ -186,27 +185,27 @@
         self.hedges.set_limits(limits.hedge_percent, HEDGE_RESERVE);
     }
 
-    /// Chooses a target for one attempt; none when no target may take it.
+    /// Chooses a target for one attempt; `None` when no target may take it.
     pub fn choose(&mut self, choosing: &Choosing<'_>) -> Option<Choice> {
         let now_us = choosing.now_us;
-        let is_wanted = |(index, view): &(usize, &TargetView)| match choosing.only {
-            _ if !choosing.may_be_in(&view.data_centre) => false,
+        let is_candidate = |(index, view): &(usize, &TargetView)| match choosing.only {
+            _ if !choosing.allows_data_centre(&view.data_centre) => false,
             Some(name) => view.name == name,
             None => view.is_eligible(now_us) && !choosing.excluded.contains(index),
         };
-        let listed = self.targets.iter().enumerate().filter(is_wanted);
+        let allowed = self.targets.iter().enumerate().filter(is_candidate);
         let mut candidates = Vec::with_capacity(self.targets.len());
-        candidates.extend(listed.map(|(index, view)| Candidate { index, view }));
-        let spills = self.rng.random_bool(self.spill.share(now_us));
+        candidates.extend(allowed.map(|(index, view)| Candidate { index, view }));
+        let spills_over = self.rng.random_bool(self.spill.share(now_us));
         let own_mean = f64::from(self.in_flight) / self.targets.len().max(1) as f64;
         let mut context = ChoosingContext {
             now_us,
             slow_start_us: self.limits.slow_start_ms * 1_000,
-            usual_us: self.usual_us,
-            class_us: self.times.mean_us(choosing.class),
-            may_leave_free: choosing.may_leave_free || spills,
+            usual_us: self.mean_us,
+            class_us: self.class_times.mean_us(choosing.class),
+            may_leave_free: choosing.may_leave_free || spills_over,
             useful_us: choosing.useful_us.map(|useful_us| useful_us as f64),
-            usual_load: self.usual_load,
+            usual_load: self.mean_load,
             own_mean,
             rng: &mut self.rng,
         };
@@ -215,7 +214,7 @@
         choice
     }
 
-    /// Notes that an attempt goes to the target at `index`.
+    /// Records that an attempt is sent to the target at `index`.
     pub fn note_sent(&mut self, index: usize) {
         if let Some(view) = self.targets.get_mut(index) {
             view.note_sent();
@@ -223,9 +222,9 @@
         }
     }
 
-    /// Notes how an attempt ended; `name` guards against a list that changed meanwhile.
+    /// Records the result of an attempt and returns the ejection that it causes, if any.
     ///
-    /// Says so when the target is ejected for it.
+    /// `name` is the target's name, because the list may have changed after `index` was read.
     pub fn note_result(
         &mut self,
         index: usize,
@@ -234,7 +233,7 @@
         result: AttemptResult,
         now_us: u64,
     ) -> Option<Ejected> {
-        let index = self.place_of(index, name)?;
+        let index = self.index_of(index, name)?;
         let view = &mut self.targets[index];
         self.in_flight -= view.in_flight().min(1);
         view.note_ended();
@@ -242,96 +241,98 @@
             AttemptResult::Good(latency_us) => {
                 view.note_result(false, latency_us, now_us);
                 let slowness = view.slowness_percent(now_us) / f64::from(USUAL_PERCENT);
-                self.times.note(class, latency_us as f64 / slowness);
-                self.usual_us += USUAL_WEIGHT * (latency_us as f64 - self.usual_us);
+                self.class_times.note(class, latency_us as f64 / slowness);
+                self.mean_us += MEAN_WEIGHT * (latency_us as f64 - self.mean_us);
                 self.retries.earn(now_us);
                 self.hedges.earn(now_us);
             }
             AttemptResult::Failed => view.note_result(true, 0, now_us),
             AttemptResult::NotRun | AttemptResult::Cancelled => return None,
         }
-        self.eject_if_due(index, now_us)
+        self.eject_if_outlier(index, now_us)
     }
 
-    /// Takes a guard's word on its target.
+    /// Stores a guard's hint on the load of its target.
     pub fn take_hint(&mut self, index: usize, name: &str, hint: Hint, now_us: u64) {
-        let Some(index) = self.place_of(index, name) else { return };
+        let Some(index) = self.index_of(index, name) else { return };
         let slots = f64::from(self.targets[index].slots.max(1));
         let load = f64::from(hint.in_flight + hint.queued) / slots;
-        self.usual_load += USUAL_WEIGHT * (load - self.usual_load);
-        self.note_load(index, hint.in_flight + hint.queued, hint.limit, now_us);
+        self.mean_load += MEAN_WEIGHT * (load - self.mean_load);
+        self.compare_loads(index, hint.in_flight + hint.queued, hint.limit, now_us);
         self.targets[index].take_hint(hint, now_us);
     }
 
-    /// Age of the last word from a target in µs.
+    /// The age of a target's last hint in µs; `None` without a hint.
     pub fn hint_age_us(&self, index: usize, now_us: u64) -> Option<u64> {
         self.targets.get(index)?.hint(now_us).map(|(_, age_us)| age_us)
     }
 
-    /// Learns from a refusal that calls wait at a target, or that no more of them may.
+    /// Records that a guard refused a call because calls wait at its target, or because its queue `is_full`.
     pub fn note_queueing(&mut self, index: usize, name: &str, is_full: bool, now_us: u64) {
-        let Some(index) = self.place_of(index, name) else { return };
+        let Some(index) = self.index_of(index, name) else { return };
         let slots = self.targets[index].slots;
-        let queued = if is_full { slots * self.limits.queue_per_slot } else { slots / HANDED_BACK_SLOTS };
-        self.note_load(index, slots + queued.max(1), slots, now_us);
-        self.targets[index].note_queueing(queued.max(1), self.usual_us, now_us);
+        let queued = if is_full { slots * self.limits.queue_per_slot } else { slots / SLOTS_PER_QUEUED_CALL };
+        self.compare_loads(index, slots + queued.max(1), slots, now_us);
+        self.targets[index].note_queueing(queued.max(1), self.mean_us, now_us);
     }
 
-    /// Compares what a target has to do with what others in and out of the own data centre have.
-    fn note_load(&mut self, index: usize, calls: u32, limit: u32, now_us: u64) {
-        let is_near = |view: &&TargetView| view.change_percent == 0 && view.is_live;
-        let near_targets = self.targets.iter().filter(is_near).count();
-        let is_far = self.targets[index].change_percent > 0;
+    /// Passes the load of a target to the comparison of the local data centre with the remote ones.
+    fn compare_loads(&mut self, index: usize, calls: u32, limit: u32, now_us: u64) {
+        let is_local = |view: &&TargetView| view.change_percent == 0 && view.is_live;
+        let local_targets = self.targets.iter().filter(is_local).count();
+        let is_remote = self.targets[index].change_percent > 0;
         let load = f64::from(calls) / f64::from(limit.max(1));
-        self.spill.note(is_far, load.min(LOAD_MAX), near_targets, now_us);
+        self.spill.note(is_remote, load.min(LOAD_MAX), local_targets, now_us);
     }
 
-    /// Learns from a refusal that a target works slowly now; `percent` of the usual time.
+    /// Records that a guard refused a call because its target is slow now: it takes `percent` of its normal time.
     pub fn note_slow(&mut self, index: usize, name: &str, percent: u32, now_us: u64) {
-        let Some(index) = self.place_of(index, name) else { return };
-        self.targets[index].note_slowness(percent, self.usual_us, now_us);
+        let Some(index) = self.index_of(index, name) else { return };
+        self.targets[index].note_slowness(percent, self.mean_us, now_us);
     }
 
-    /// Learns from a refusal that a target drains.
+    /// Records that a guard refused a call because its target drains.
     pub fn note_draining(&mut self, index: usize, name: &str, now_us: u64) {
-        let Some(index) = self.place_of(index, name) else { return };
-        self.targets[index].note_draining(self.usual_us, now_us);
+        let Some(index) = self.index_of(index, name) else { return };
+        self.targets[index].note_draining(self.mean_us, now_us);
     }
 
-    /// Learns from a refusal that no target of this name is to be had there for `wait_ms`.
+    /// Records that a guard refused a call because it has no target of this name and expects none for `wait_ms`.
     pub fn note_absent(&mut self, index: usize, name: &str, wait_ms: u32, now_us: u64) {
-        let Some(index) = self.place_of(index, name) else { return };
+        let Some(index) = self.index_of(index, name) else { return };
         self.targets[index].note_absent(u64::from(wait_ms) * 1_000, now_us);
     }
 
-    /// Learns from a refusal that a cold target bears no more calls for `wait_ms`.
+    /// Records that a guard refused a call because its cold target admits no further call for `wait_ms`.
     pub fn note_no_place(&mut self, index: usize, name: &str, wait_ms: u32, now_us: u64) {
-        let Some(index) = self.place_of(index, name) else { return };
-        let wait_us = (u64::from(wait_ms) * 1_000).clamp(1, NO_PLACE_MAX_US);
+        let Some(index) = self.index_of(index, name) else { return };
+        let wait_us = (u64::from(wait_ms) * 1_000).clamp(1, COLD_PAUSE_MAX_US);
         self.targets[index].note_absent(wait_us, now_us);
     }
 
-    /// Slowness from which a target is slow beside the others, in percent of the usual.
+    /// Slowness in percent of normal service time from which a target counts as slow compared with the others.
     ///
-    /// Where all targets are slow, as after a start of the whole fleet, none is to be avoided for it.
+    /// Where all targets are slow, as after a start of the whole fleet, none is avoided for it.
     pub fn slow_from_percent(&self, now_us: u64) -> u32 {
-        let known = self.pace_percent(now_us).map(|percent| SLOW_FACTOR * percent);
-        known.unwrap_or(SLOW_FACTOR_UNKNOWN * USUAL_PERCENT)
+        let threshold = self.service_slowness_percent(now_us).map(|percent| SLOW_FACTOR * percent);
+        threshold.unwrap_or(SLOW_FACTOR_UNKNOWN * USUAL_PERCENT)
     }
 
-    /// How long work takes at the quickest quarter of the targets, in percent of the usual, as far as it is known.
-    fn pace_percent(&self, now_us: u64) -> Option<u32> {
-        let words = self.targets.iter().filter_map(|view| view.hint(now_us));
-        let fresh = words.filter(|(_, age_us)| *age_us <= SLOWNESS_AGE_MAX_US);
-        let mut known = fresh.map(|(hint, _)| hint.slowness_percent).collect::<Vec<_>>();
-        if known.len() < SLOWNESS_WORDS_MIN {
+    /// Slowness of the quickest quarter of the targets in percent of normal service time; `None` with too few recent
+    /// hints.
+    fn service_slowness_percent(&self, now_us: u64) -> Option<u32> {
+        let hints = self.targets.iter().filter_map(|view| view.hint(now_us));
+        let fresh = hints.filter(|(_, age_us)| *age_us <= SLOWNESS_AGE_MAX_US);
+        let mut percents = fresh.map(|(hint, _)| hint.slowness_percent).collect::<Vec<_>>();
+        if percents.len() < SLOWNESS_HINTS_MIN {
             return None;
         }
-        known.sort_unstable();
-        known.get(known.len() / USUAL_PACE_SHARE).map(|percent| (*percent).max(USUAL_PERCENT))
+        percents.sort_unstable();
+        percents.get(percents.len() / QUICK_TARGETS_DIVISOR).map(|percent| (*percent).max(USUAL_PERCENT))
     }
 
-    /// Whether two thirds of the live targets said lately that half a wave of calls waits.
+    /// Whether more than two thirds of the live targets recently reported a queue of at least half their concurrency
+    /// limit.
     pub fn is_queueing(&self, now_us: u64) -> bool {
         let live = self.targets.iter().filter(|view| view.is_live);
         let is_queueing = |view: &&TargetView| {
@@ -342,25 +343,23 @@
         queueing * 3 > live.count() * 2
     }
 
-    /// Near targets that are to be asked how they are before a call is placed, drawn at random: up to `count` of those
-    /// whose last word is old, and none while the data centre has room wherever the call goes.
+    /// Local targets whose load should be queried before a call is placed: up to `count` of those with an old hint,
+    /// drawn at random, and none while the load of the local data centre is low.
     ///
-    /// An entry that sends a service two calls a second has words that are seconds old. With 300 entries and 144
-    /// targets, a quarter of them four times slower at any time, two questions before each call raise the answers in
-    /// time from 86 to 95 % at six tenths of the load that fills all slots (`tests/placing.rs`); at a quarter of it they
-    /// change nothing.
+    /// An entry node that sends a service few calls has hints that are seconds old, and without queries it sends calls
+    /// to busy targets (`tests/placing.rs`).
     pub fn to_ask(&mut self, count: usize, now_us: u64) -> Vec<AskedTarget> {
-        if self.spill.near_load() < ASKED_FROM_LOAD {
+        if self.spill.local_load() < QUERY_LOAD_MIN {
             return Vec::new();
         }
         let is_old =
-            |view: &TargetView| view.hint(now_us).is_none_or(|(_, age_us)| age_us > ASKED_FROM_AGE_US);
-        let is_wanted = |(_, view): &(usize, &TargetView)| {
+            |view: &TargetView| view.hint(now_us).is_none_or(|(_, age_us)| age_us > QUERY_HINT_AGE_US);
+        let should_query = |(_, view): &(usize, &TargetView)| {
             view.change_percent == 0 && view.is_eligible(now_us) && is_old(view)
         };
-        let wanted = self.targets.iter().enumerate().filter(is_wanted).collect::<Vec<_>>();
-        let drawn = wanted.sample(&mut self.rng, count);
-        drawn
+        let stale = self.targets.iter().enumerate().filter(should_query).collect::<Vec<_>>();
+        let sample = stale.sample(&mut self.rng, count);
+        sample
             .map(|(index, view)| AskedTarget {
                 index: *index,
                 name: view.name.clone(),
@@ -369,8 +368,8 @@
             .collect()
     }
 
-    /// The target that a probe would tell most of: of those that `is_reached`, the one with the
-    /// oldest hint.
+    /// The index of the live target with the oldest hint among those whose host `is_reached`; `None` when no hint is
+    /// at least `age_min_us` old. A target without a hint counts as oldest, and ties are broken at random.
     pub fn stalest(
         &mut self,
         now_us: u64,
@@ -386,19 +385,19 @@
         Some(ties[self.rng.random_range(0..ties.len())].0)
     }
 
-    /// When to come back, in ms, for a call that no target can take now: when the first target that is out,
-    /// absent or leaving may be called again, or else after some run times.
+    /// Time in ms after which the caller of a call that no target can take should retry: when the first ejected,
+    /// absent or draining target may be called again, or else after a few mean service times.
     pub fn retry_after_ms(&self, now_us: u64) -> u64 {
         let live = self.targets.iter().filter(|view| view.is_live);
-        let free_us = live.map(|view| view.free_from_us(now_us).saturating_sub(now_us)).min();
-        let wait_ms = match free_us {
-            Some(free_us) if free_us > 0 => free_us.div_ceil(1_000),
-            _ => (self.usual_us / 1_000.0 * RETRY_AFTER_RUNS) as u64,
+        let eligible_in_us = live.map(|view| view.eligible_from_us(now_us).saturating_sub(now_us)).min();
+        let wait_ms = match eligible_in_us {
+            Some(eligible_in_us) if eligible_in_us > 0 => eligible_in_us.div_ceil(1_000),
+            _ => (self.mean_us / 1_000.0 * RETRY_AFTER_RUNS) as u64,
         };
         wait_ms.clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS)
     }
 
-    /// The targets, for decisions written down and for operators.
+    /// The targets, for the decision log and the administration API.
     pub fn targets(&self) -> &[TargetView] {
         &self.targets
     }
@@ -408,12 +407,13 @@
         &self.limits
     }
 
-    /// Whether guards should act as behind a plain balancer.
+    /// Whether guards should queue without limit and never hand back, as behind a baseline balancer.
     pub fn is_plain(&self) -> bool {
         self.chooser.is_plain()
     }
 
-    fn place_of(&self, index: usize, name: &str) -> Option<usize> {
+    /// The current index of the target `name`, which was at `index` earlier.
+    fn index_of(&self, index: usize, name: &str) -> Option<usize> {
         if self.targets.get(index).is_some_and(|view| view.name == name) {
             return Some(index);
         }
@@ -421,14 +421,14 @@
     }
 }
 
-/// A target that is to be asked how it is.
+/// A target whose load should be queried before a call is placed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AskedTarget {
-    /// Its place in the service's list.
+    /// The target's index in the service's list.
     pub index: usize,
-    /// Its name.
+    /// The target's name.
     pub name: String,
-    /// The host it runs on.
+    /// The host that the target runs on.
     pub host: String,
 }
 
--- a/crates/laurelstall_balance/src/service_balancer/ejecting.rs
+++ b/crates/laurelstall_balance/src/service_balancer/ejecting.rs
@@ -1,39 +1,40 @@
-//! Which targets are taken out of the choice, for errors or for being slow.
+//! Outlier ejection: takes targets with many errors or high latency out of the choice.
 
 use super::ServiceBalancer;
 use crate::target_view::TargetView;
 
-/// Attempts before errors or latency may eject a target.
+/// Attempts that must have ended before a target may be ejected.
 const EJECTION_SAMPLES_MIN: u32 = 5;
 /// Share of failed attempts from which a target may be ejected.
 const EJECTION_ERROR_RATE: f64 = 0.5;
-/// How far a target's errors must stand above the mean of its service.
+/// How far a target's error rate must exceed the mean of the other targets.
 const EJECTION_ERROR_MARGIN: f64 = 0.25;
 /// Multiple of the service's median latency from which a target may be ejected.
 const EJECTION_LATENCY_FACTOR: f64 = 5.0;
-/// Latency below which none is ejected for being slow, in µs.
+/// Latency in µs below which no target is ejected for being slow.
 const EJECTION_LATENCY_MIN_US: f64 = 5_000.0;
-/// How long a target must be slow before it is ejected for it, in µs.
+/// How long in µs a target must be slow before it is ejected for it.
 ///
-/// Neighbours steal capacity for up to half a second; ejecting for that long costs the service
-/// more than the slow target does, since choices avoid it anyway (measured, `docs/LOAD.md`).
+/// Noisy neighbours slow a target for up to half a second. Ejecting it for that costs the service more capacity than
+/// it gains, because the choice of targets avoids a slow one anyway.
 const EJECTION_SLOW_US: u64 = 1_500_000;
 
-/// A target that was taken out of the choice, and what decided it.
+/// An ejected target and the figures that caused its ejection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ejected {
     /// The target's name.
     pub target: String,
-    /// Share of its recent attempts that failed.
+    /// Share of its recent attempts that failed, 0 to 1.
     pub error_rate: f64,
     /// Average latency of its recent successes in µs.
     pub latency_us: u64,
-    /// Times it was ejected in a row, this one counted along.
+    /// Number of ejections in a row, this one included.
     pub times: u32,
 }
 
 impl ServiceBalancer {
-    pub(super) fn eject_if_due(&mut self, index: usize, now_us: u64) -> Option<Ejected> {
+    /// Ejects the target at `index` if it fails or is slow and the limit on ejected targets allows it.
+    pub(super) fn eject_if_outlier(&mut self, index: usize, now_us: u64) -> Option<Ejected> {
         let view = &self.targets[index];
         if view.ejection.is_out(now_us) || view.samples() < EJECTION_SAMPLES_MIN {
             return None;
@@ -44,9 +45,9 @@
             self.note_recovery(index, now_us);
             return None;
         }
-        let out = self.targets.iter().filter(|view| view.ejection.is_out(now_us)).count();
-        let most = self.targets.len() * self.limits.ejected_max_percent as usize / 100;
-        if out >= most {
+        let ejected = self.targets.iter().filter(|view| view.ejection.is_out(now_us)).count();
+        let ejected_max = self.targets.len() * self.limits.ejected_max_percent as usize / 100;
+        if ejected >= ejected_max {
             return None;
         }
         let view = &mut self.targets[index];
@@ -79,10 +80,10 @@
         if latency_us < EJECTION_LATENCY_MIN_US {
             return false;
         }
-        let known = self.targets.iter().map(TargetView::latency_us).filter(|l| *l > 0.0);
-        let mut known = known.collect::<Vec<_>>();
-        known.sort_by(f64::total_cmp);
-        let median = known.get((known.len().saturating_sub(1)) / 2).copied().unwrap_or(0.0);
-        known.len() >= 3 && latency_us > EJECTION_LATENCY_FACTOR * median
+        let latencies = self.targets.iter().map(TargetView::latency_us).filter(|l| *l > 0.0);
+        let mut latencies = latencies.collect::<Vec<_>>();
+        latencies.sort_by(f64::total_cmp);
+        let median = latencies.get((latencies.len().saturating_sub(1)) / 2).copied().unwrap_or(0.0);
+        latencies.len() >= 3 && latency_us > EJECTION_LATENCY_FACTOR * median
     }
 }
--- a/crates/laurelstall_balance/src/service_balancer/spending.rs
+++ b/crates/laurelstall_balance/src/service_balancer/spending.rs
@@ -1,21 +1,21 @@
-//! What may be spent on more attempts than one for each call.
+//! Budgets for attempts beyond the first of a call: retries, hedges and reroutes.
 
 use super::ServiceBalancer;
 use crate::share_budget::SpendingClass;
 use laurelstall_config::team::ServiceLimits;
 use rand::RngExt;
 
-/// One entry's part of the retries that all entries together may make beyond what they earn.
-pub(super) fn retry_part(limits: &ServiceLimits, entries: usize) -> f64 {
+/// One entry node's part of the retry reserve, which all entry nodes share.
+pub(super) fn reserve_per_entry(limits: &ServiceLimits, entries: usize) -> f64 {
     f64::from(limits.retry_reserve) / entries.max(1) as f64
 }
 
-/// Counts of a [`ServiceBalancer`] since its start.
+/// Counts of a [`ServiceBalancer`] since its creation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BalancerTotals {
-    /// Further attempts granted.
+    /// Retries granted.
     pub retries: u64,
-    /// Further attempts refused for want of budget.
+    /// Retries refused because the budget was exhausted.
     pub retries_refused: u64,
     /// Hedges granted.
     pub hedges: u64,
@@ -24,58 +24,59 @@
 }
 
 impl ServiceBalancer {
-    /// Takes the number of entries that share the reserve for retries.
+    /// Sets the number of entry nodes that share the retry reserve.
     pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries;
-        self.retries.set_limits(self.limits.retry_percent, retry_part(&self.limits, entries));
+        self.retries.set_limits(self.limits.retry_percent, reserve_per_entry(&self.limits, entries));
     }
 
-    /// Notes a call to the service, before its first attempt.
+    /// Records a call to the service before its first attempt.
     ///
-    /// `importance` is that of what its caller waits for. `is_repeat` says whether the run that makes it is a
-    /// repeat, so that its target gets once more what another run of the same request has sent.
+    /// `importance` is that of the request that the call is made for. `is_repeat` tells whether the caller itself is a
+    /// repeated run of a request: its call then repeats one that the first run already made, so it is charged to the
+    /// retry budget.
     pub fn note_call(&mut self, importance: u8, is_repeat: bool, now_us: u64) {
         self.foremost.note(importance, now_us);
         self.retries.note_call(now_us);
         self.hedges.note_call(now_us);
-        self.moves.note_call(now_us);
-        self.moves.earn(now_us);
+        self.reroutes.note_call(now_us);
+        self.reroutes.earn(now_us);
         if is_repeat {
             self.retries.charge(now_us);
         }
     }
 
-    /// Earns for a call whose first attempt a target turned away.
+    /// Adds to the retry budget for a call whose first attempt was rejected by a target.
     ///
-    /// It did not run, so another target may well serve it: without this, retries end when they are needed. A run
-    /// that failed earns nothing: it may fail everywhere, and makes its own calls once more.
+    /// The call did not run, so another target may well serve it; without this, the budget would be empty when retries
+    /// help most. A run that failed adds nothing: it may fail everywhere, and each run makes its own calls again.
     pub fn note_turned_away(&mut self, now_us: u64) {
         self.retries.earn(now_us);
     }
 
-    /// Whether a further attempt of a call of this importance may be made after one that reached a target.
+    /// Withdraws a retry for a call of this importance, one of whose attempts reached a target.
     pub fn may_retry(&mut self, importance: u8, now_us: u64) -> bool {
         let class = self.foremost.class_of(importance, now_us);
         let draw = self.rng.random::<f64>();
         self.retries.try_spend(class, draw, now_us)
     }
 
-    /// Whether a call that a guard has no room for may ask another one.
+    /// Withdraws a reroute for a call that a guard refused because it has no free slot.
     ///
-    /// No target has had it, so it is not paid from the budget for retries; but in an overload the others are as
-    /// full, and moving calls costs bytes between data centres: with no bound a fifth more of them (13 nodes).
+    /// No target received the call, so it is not charged to the retry budget. It has a budget of its own, because in
+    /// an overload the other guards are full as well, and reroutes cost traffic between data centres.
     pub fn may_move(&mut self, now_us: u64) -> bool {
         let draw = self.rng.random::<f64>();
-        self.moves.try_spend(SpendingClass::Foremost, draw, now_us)
+        self.reroutes.try_spend(SpendingClass::Foremost, draw, now_us)
     }
 
-    /// Whether a hedge may be sent: there is budget, and the service as a whole is not queueing.
+    /// Withdraws a hedge; refused while the service as a whole is queueing.
     pub fn may_hedge(&mut self, now_us: u64) -> bool {
         let draw = self.rng.random::<f64>();
         !self.is_queueing(now_us) && self.hedges.try_spend(SpendingClass::Foremost, draw, now_us)
     }
 
-    /// Retries granted and refused, hedges granted, ejections, since the start.
+    /// The counts since this balancer was created.
     pub fn totals(&self) -> BalancerTotals {
         BalancerTotals {
             retries: self.retries.granted(),
--- a/crates/laurelstall_balance/src/share_budget.rs
+++ b/crates/laurelstall_balance/src/share_budget.rs
@@ -1,49 +1,45 @@
-//! Budgets that are a share of the calls: for retries and for hedges.
+//! Budgets for attempts beyond the first of a call, in proportion to the calls.
 
 use crate::recent_count::RecentCount;
 
-/// Share of what the calls of the last ten seconds earn that may be saved up.
+/// Part of the deposits of the last ten seconds that the budget may hold.
 ///
-/// Users bound repeats in any ten seconds to twice the usual share. Of the second half, one part is for what
-/// was saved before, and the same once more for an entry that starts anew meanwhile.
+/// In any ten seconds, extra attempts may reach twice the configured percentage of the calls. Half of the second
+/// percentage is for tokens that were saved before the window, the other half for an entry node that restarts in it
+/// and starts with new ones.
 const SAVED_SHARE: f64 = 0.5;
-/// Share of the reserve that may be saved up, and that an entry starts with.
+/// Part of the reserve that the budget may hold, and that it starts with.
 ///
-/// What was saved, what an entry that starts anew has once more, and what comes back meanwhile are the whole reserve.
+/// Saved tokens, those of an entry node after a restart, and the refill of the window add up to the whole reserve.
 const SAVED_RESERVE: f64 = 0.4;
-/// Share of the reserve that comes back in each window.
+/// Part of the reserve that is refilled in each window.
 const REFILLED_RESERVE: f64 = 0.2;
-/// Length of the window in which the reserve counts, in µs: the time over which users bound what is repeated.
+/// Length in µs of the window to which the reserve applies.
 const WINDOW_US: f64 = 10_000_000.0;
-/// Smallest part of an attempt that is staked for one, as far as so much can be saved up: smaller stakes would
-/// make the sum over all entries stray further from what is expected.
-const STAKE_MIN: f64 = 0.5;
-/// Share of what can be saved up that calls below the most important ones leave in the budget.
-///
-/// While targets turn away more than half of what arrives, retries that go first to orders, which need one success, and
-/// then to pages, which need two, add 31 % to the worth of the answers, and 19 % when all may use them alike
-/// (300 entries, ten seconds, `tests/retry_budget.rs`).
+/// Smallest fraction of a token that is withdrawn for an attempt, if the budget can hold that much. Smaller fractions
+/// would increase the variance of the sum over all entry nodes.
+const FRACTION_MIN: f64 = 0.5;
+/// Part of the largest balance that is kept for the most important calls.
 const KEPT_SHARE: f64 = 0.5;
 
-/// Which calls an extra attempt is for.
+/// The importance of the call that an extra attempt is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SpendingClass {
-    /// The most important ones of their service: they may use all of the budget.
+    /// One of the most important calls of its service, which may use the whole budget.
     Foremost,
-    /// Others: they use what these do not need.
+    /// A less important call, which leaves a part of the budget to those.
     Other,
 }
 
-/// A budget that earns a share of a token for calls that went well, and pays one for each extra attempt.
+/// A token budget into which calls deposit a fraction of a token, and from which an extra attempt withdraws one.
 ///
-/// At each level of a chain of calls extra attempts stay below that share, so they cannot multiply from level to
-/// level. What is saved up is bounded by the calls of the last
-/// ten seconds, so that all entries together stay below a bound on their calls together; a reserve, which all
-/// entries share, lets quiet services retry at all.
+/// Extra attempts stay below that fraction of the calls at each level of a chain of calls, so they cannot multiply
+/// from level to level. The balance is limited by the calls of the last ten seconds, so that all entry nodes together
+/// stay below a limit on their calls together. A reserve, which all entry nodes share, lets quiet services retry.
 ///
-/// Where hundreds of entries share a bound, the part of one is a fraction of an attempt. It is not lost: the entry
-/// stakes it, and a draw with just this chance decides whether the attempt is made. Each entry expects what it
-/// has, and the sum over many of them keeps close to it.
+/// Where hundreds of entry nodes share a limit, the part of one is a fraction of an attempt. Such a fraction is
+/// withdrawn whole, and the attempt is granted with that probability. The sum over many entry nodes stays close to
+/// their balances.
 #[derive(Debug, Clone)]
 pub struct ShareBudget {
     share: f64,
@@ -56,7 +52,7 @@
 }
 
 impl ShareBudget {
-    /// A budget of `percent` of the calls and of `reserve` attempts in ten seconds besides.
+    /// Creates a budget of `percent` of the calls plus `reserve` attempts in ten seconds.
     pub fn new(percent: u32, reserve: f64) -> Self {
         Self {
             share: f64::from(percent) / 100.0,
@@ -69,41 +65,41 @@
         }
     }
 
-    /// Changes share and reserve.
+    /// Changes the percentage of the calls and the reserve.
     pub fn set_limits(&mut self, percent: u32, reserve: f64) {
         self.share = f64::from(percent) / 100.0;
         self.reserve = reserve;
     }
 
-    /// Notes a call, whatever becomes of it.
+    /// Records a call, whatever its result.
     pub fn note_call(&mut self, now_us: u64) {
         self.calls.note(now_us);
     }
 
-    /// Earns for one call.
+    /// Deposits for one call.
     pub fn earn(&mut self, now_us: u64) {
         self.refill(now_us);
         self.tokens = (self.tokens + self.share).min(self.tokens_max(now_us));
     }
 
-    /// Pays for one extra attempt, if there is enough and the share is not 0.
+    /// Withdraws a token for one extra attempt and returns whether the attempt is granted.
     ///
-    /// `draw`, evenly drawn from 0 to 1, decides where there is only a part of an attempt.
+    /// `draw` is a uniform random number from 0 to 1. It decides when the balance is only a fraction of a token.
     pub fn try_spend(&mut self, class: SpendingClass, draw: f64, now_us: u64) -> bool {
         self.refill(now_us);
-        let most = self.tokens_max(now_us);
-        self.tokens = self.tokens.min(most);
+        let tokens_max = self.tokens_max(now_us);
+        self.tokens = self.tokens.min(tokens_max);
         let kept = match class {
             SpendingClass::Foremost => 0.0,
-            SpendingClass::Other => KEPT_SHARE * most,
+            SpendingClass::Other => KEPT_SHARE * tokens_max,
         };
-        let stake = (self.tokens - kept).min(1.0);
-        if self.share <= 0.0 || stake <= 0.0 || stake < STAKE_MIN.min(most - kept) {
+        let fraction = (self.tokens - kept).min(1.0);
+        if self.share <= 0.0 || fraction <= 0.0 || fraction < FRACTION_MIN.min(tokens_max - kept) {
             self.refused += 1;
             return false;
         }
-        self.tokens -= stake;
-        let is_granted = draw < stake;
+        self.tokens -= fraction;
+        let is_granted = draw < fraction;
         if is_granted {
             self.granted += 1;
         } else {
@@ -112,18 +108,18 @@
         is_granted
     }
 
-    /// Pays for one extra attempt that is made in any case; what is owed holds later ones back.
+    /// Withdraws a token for an extra attempt that is made in any case. The balance may become negative.
     pub fn charge(&mut self, now_us: u64) {
-        let owed_max = self.tokens_max(now_us);
-        self.tokens = (self.tokens.min(owed_max) - 1.0).max(-owed_max);
+        let tokens_max = self.tokens_max(now_us);
+        self.tokens = (self.tokens.min(tokens_max) - 1.0).max(-tokens_max);
     }
 
-    /// Extra attempts granted.
+    /// Number of extra attempts granted.
     pub fn granted(&self) -> u64 {
         self.granted
     }
 
-    /// Extra attempts refused.
+    /// Number of extra attempts refused.
     pub fn refused(&self) -> u64 {
         self.refused
     }
@@ -134,8 +130,9 @@
         self.tokens += REFILLED_RESERVE * self.reserve * (passed_us / WINDOW_US).min(1.0);
     }
 
+    /// The largest balance, given the calls of the last ten seconds.
     fn tokens_max(&mut self, now_us: u64) -> f64 {
-        let earned = self.share * f64::from(self.calls.count(now_us));
-        SAVED_RESERVE * self.reserve + SAVED_SHARE * earned
+        let deposited = self.share * f64::from(self.calls.count(now_us));
+        SAVED_RESERVE * self.reserve + SAVED_SHARE * deposited
     }
 }
--- a/crates/laurelstall_balance/src/spill.rs
+++ b/crates/laurelstall_balance/src/spill.rs
@@ -1,67 +1,65 @@
-//! How much of a service's calls leaves a data centre that has less room for them than others have.
+//! Spillover: the share of a service's calls that a loaded data centre sends to less loaded ones.
 
-/// Weight of a new word in the loads that are compared: about the last ten words, a second or two of calls.
+/// Weight of a new sample in the moving averages of the loads.
 const LOAD_WEIGHT: f64 = 0.15;
-/// Load of the own data centre up to which nothing leaves it: below, its targets have free slots. With 0.5 as much as
-/// a fifth of the calls left data centres that were loaded alike, with 0.8 two fifths more bytes passed between them
-/// on a day of high load, for a worth that did not pay for them.
-const ROOMY: f64 = 1.0;
-/// How much less loaded the others must be, however many targets are near: what is left of a difference is noise, and
-/// each call that leaves costs bytes between data centres.
+/// Load of the local data centre up to which no call leaves it: its targets have free slots.
+const LOCAL_LOAD_MIN: f64 = 1.0;
+/// Difference of loads that is ignored, because it may be noise and each remote call costs traffic between data
+/// centres.
 const MARGIN: f64 = 0.2;
-/// How much more that is for a single near target: its load swings by about as much as it is, that of many by as much
-/// less as the root of their number.
-const MARGIN_OF_ONE: f64 = 0.6;
-/// How fast the share follows the difference, for each word: with ten words a second, a difference of 0.3 moves a
-/// tenth of the calls in a third of a second.
+/// Further difference that is ignored with a single local target. The load of few targets varies more, so this part
+/// shrinks with the square root of their number.
+const SINGLE_TARGET_MARGIN: f64 = 0.6;
+/// Change of the share per sample and unit of difference.
 const GAIN: f64 = 0.1;
-/// Largest share that leaves: calls that stay tell when there is room at home again.
+/// Upper limit of the share: calls that stay show when the local load falls.
 const SHARE_MAX: f64 = 0.6;
-/// Share that leaves a loaded data centre while nothing is known of the others: enough to hear of them.
-const SHARE_TRIED: f64 = 0.02;
-/// Age from which nothing is known of the others any more, in µs.
-const WORD_AGE_MAX_US: u64 = 3_000_000;
+/// Share that leaves a loaded data centre while the load of the others is unknown, in order to learn it.
+const PROBE_SHARE: f64 = 0.02;
+/// Age in µs from which the load of the remote data centres is unknown.
+const REMOTE_LOAD_AGE_MAX_US: u64 = 3_000_000;
 
-/// The share of the calls that leaves the own data centre.
+/// Controls the share of the calls that leaves the local data centre.
 ///
-/// The load pattern: one data centre has more callers, or fewer targets, than the others, and a burst fills it while
-/// the others have room. A price on leaving alone keeps calls at home until they are likely to be late there. So the
-/// loads that targets tell on their answers are compared, and just as much leaves as makes them alike.
+/// When one data centre has more callers or fewer targets than the others, the cost of a remote call alone keeps its
+/// calls local until they are likely to be late. This controller compares the loads that targets report with their
+/// answers and raises the share until they are equal.
 #[derive(Debug, Clone, Default)]
 pub struct Spill {
-    near: f64,
-    far: f64,
-    far_at_us: u64,
+    local_load: f64,
+    remote_load: f64,
+    remote_at_us: u64,
     share: f64,
 }
 
 impl Spill {
-    /// Takes a word on the load of a target: calls that run and wait there, relative to its limit; of so many near
-    /// targets.
-    pub fn note(&mut self, is_far: bool, load: f64, near_targets: usize, now_us: u64) {
-        if is_far {
-            let is_old = now_us.saturating_sub(self.far_at_us) > WORD_AGE_MAX_US;
-            self.far = if is_old { load } else { self.far + LOAD_WEIGHT * (load - self.far) };
-            self.far_at_us = now_us;
+    /// Records the load of a local or remote target: its running and waiting calls divided by its concurrency limit.
+    /// `local_targets` is the number of live targets in the local data centre.
+    pub fn note(&mut self, is_remote: bool, load: f64, local_targets: usize, now_us: u64) {
+        if is_remote {
+            let is_old = now_us.saturating_sub(self.remote_at_us) > REMOTE_LOAD_AGE_MAX_US;
+            self.remote_load =
+                if is_old { load } else { self.remote_load + LOAD_WEIGHT * (load - self.remote_load) };
+            self.remote_at_us = now_us;
         } else {
-            self.near += LOAD_WEIGHT * (load - self.near);
+            self.local_load += LOAD_WEIGHT * (load - self.local_load);
         }
-        let margin = MARGIN + MARGIN_OF_ONE / (near_targets.max(1) as f64).sqrt();
-        let excess = self.near - (self.far + margin).max(ROOMY);
+        let margin = MARGIN + SINGLE_TARGET_MARGIN / (local_targets.max(1) as f64).sqrt();
+        let excess = self.local_load - (self.remote_load + margin).max(LOCAL_LOAD_MIN);
         self.share = (self.share + GAIN * excess).clamp(0.0, SHARE_MAX);
     }
 
-    /// The load of the own data centre, as its targets told it lately.
-    pub fn near_load(&self) -> f64 {
-        self.near
+    /// The load of the local data centre: a moving average of what its targets reported.
+    pub fn local_load(&self) -> f64 {
+        self.local_load
     }
 
-    /// The share of the calls that is to leave now, 0 to 1.
+    /// The share of the calls that should leave the local data centre now, 0 to 1.
     pub fn share(&self, now_us: u64) -> f64 {
-        if now_us.saturating_sub(self.far_at_us) <= WORD_AGE_MAX_US {
+        if now_us.saturating_sub(self.remote_at_us) <= REMOTE_LOAD_AGE_MAX_US {
             self.share
-        } else if self.near > ROOMY {
-            SHARE_TRIED
+        } else if self.local_load > LOCAL_LOAD_MIN {
+            PROBE_SHARE
         } else {
             0.0
         }
--- a/crates/laurelstall_balance/src/target_view.rs
+++ b/crates/laurelstall_balance/src/target_view.rs
@@ -1,57 +1,57 @@
-//! What one entry believes of one target.
+//! State that one entry node keeps about one target.
 
 use crate::{
     ejection::Ejection,
     hint::{Hint, TargetState, USUAL_PERCENT},
 };
 
-/// Weight of a new sample in the averages of errors.
+/// Weight of a new sample in the moving average of errors.
 const ERROR_WEIGHT: f64 = 0.15;
-/// Weight of a new sample in the average of latencies.
+/// Weight of a new sample in the moving average of latencies.
 const LATENCY_WEIGHT: f64 = 0.2;
-/// Time in which the memory of errors halves, in µs: a target that failed is tried again.
+/// Half-life of the error rate in µs. It decays without new attempts, so a target that failed is tried again.
 const ERROR_HALF_LIFE_US: f64 = 1_000_000.0;
-/// Share of errors below which they are forgotten; else a tie would be lost for ever.
+/// Error rate that is rounded down to 0. Otherwise a target that failed once would lose every tie for ever.
 const ERROR_RATE_MIN: f64 = 0.001;
-/// Age at which a hint counts half, in µs: about two service times (measured, `docs/LOAD.md`).
+/// Age in µs at which the load in a hint has half its weight.
 pub const HINT_HALF_AGE_US: f64 = 20_000.0;
-/// Age at which the service time of a hint counts half, in µs.
+/// Age in µs at which the service time in a hint has half its weight.
 pub const SERVICE_HALF_AGE_US: f64 = 100_000.0;
 
-/// How long a guard's word that it drains is believed, in µs.
+/// Age in µs up to which a hint that the target drains is believed.
 ///
-/// A node that stops for a restart says so, and then nothing more: without calls there is no connection
-/// over which it could say that it is back. A try too early costs a refusal, one second after the last.
+/// A node that restarts reports that it drains and then nothing more: without calls there is no connection over which
+/// it could report that it is back. An attempt that comes too early costs one refusal a second.
 const DRAINING_AGE_MAX_US: u64 = 1_000_000;
 
-/// How long a target is taken for absent when its guard guards another one and cannot tell for how long, in µs:
-/// lists differ between nodes for less.
+/// Time in µs for which a target counts as absent when its guard has another target and cannot tell for how long. The
+/// target lists of two nodes differ for less than that.
 const ABSENT_US: u64 = 1_000_000;
-/// Longest time that a guard's word on its target's absence is believed, in µs: above the guard's own pauses.
+/// Upper bound in µs for the absence that a guard reports. It is longer than the guard's own retry pauses.
 const ABSENT_MAX_US: u64 = 5_000_000;
 
-/// One entry's view of one target.
+/// The state of one target as one entry node knows it.
 #[derive(Debug, Clone)]
 pub struct TargetView {
     /// The target's name.
     pub name: String,
-    /// The host it runs on.
+    /// The host that the target runs on.
     pub host: String,
-    /// When it started, in ms of Unix time by its own clock; 0 when that is not known.
+    /// When the target started, in ms of Unix time by its own clock; 0 when unknown.
     pub started_unix_ms: u64,
-    /// Slots from the configuration.
+    /// Configured number of requests that the target runs at once.
     pub slots: u32,
-    /// Way there and back in µs.
+    /// Network round-trip time to the target in µs.
     pub trip_us: u64,
-    /// What a call costs that goes there, in percent of the worth of its answer.
+    /// Cost of sending a call to the target's data centre, in percent of the value of its answer; 0 in the local one.
     pub change_percent: u32,
-    /// The data centre that it stands in; empty when that is not known.
+    /// The data centre of the target; empty when unknown.
     pub data_centre: String,
-    /// Whether the fleet lists its host as live.
+    /// Whether the list of hosts has the target's host as live.
     pub is_live: bool,
-    /// Whether it is ejected, and since when it ramps up.
+    /// Outlier ejection and slow start of the target.
     pub ejection: Ejection,
-    /// Until when its guard said that no target of this name is there, in µs.
+    /// Time in µs until which its guard reported that it has no target of this name.
     absent_until_us: u64,
     hint: Option<(Hint, u64)>,
     in_flight: u32,
@@ -64,7 +64,7 @@
 }
 
 impl TargetView {
-    /// A view of a target of which nothing is known yet; it ramps up from `now_us`.
+    /// Creates the state of an unknown target, which ramps up from `now_us`.
     pub fn new(name: &str, host: &str, slots: u32, trip_us: u64, now_us: u64) -> Self {
         Self {
             name: name.to_owned(),
@@ -88,22 +88,22 @@
         }
     }
 
-    /// Whether `listed` is another start of this target, which knows nothing of what is believed of it.
+    /// Whether `listed` is the same target after a restart, so that the state of this view no longer applies.
     pub fn is_restarted_as(&self, listed: &Self) -> bool {
         let (before, now) = (self.started_unix_ms, listed.started_unix_ms);
         before != 0 && now != 0 && before != now
     }
 
-    /// Counts the attempts at an earlier start of the target, which still end here.
+    /// Copies the attempts in flight from the view of the target before its restart; they still end here.
     pub fn take_in_flight(&mut self, before: &Self) {
         self.in_flight = before.in_flight;
         self.in_flight_at_hint = before.in_flight;
     }
 
-    /// Takes a guard's word; a new incarnation starts the view afresh.
+    /// Stores a guard's hint. A new incarnation resets latency, errors and ejection.
     pub fn take_hint(&mut self, hint: Hint, now_us: u64) {
-        let is_other = |old: &Hint| old.incarnation != 0 && old.incarnation != hint.incarnation;
-        let is_restarted = self.hint.is_some_and(|(old, _)| is_other(&old));
+        let has_changed = |old: &Hint| old.incarnation != 0 && old.incarnation != hint.incarnation;
+        let is_restarted = self.hint.is_some_and(|(old, _)| has_changed(&old));
         if is_restarted {
             self.error_rate = 0.0;
             self.latency_us = 0.0;
@@ -114,48 +114,48 @@
         self.in_flight_at_hint = self.in_flight;
     }
 
-    /// Learns from a refusal that all slots are taken and so many calls wait.
-    pub fn note_queueing(&mut self, queued: u32, usual_us: f64, now_us: u64) {
-        let known = self.hint.map(|(hint, _)| hint);
-        let hint = known.unwrap_or(self.assumed_hint(usual_us));
+    /// Records that a guard refused a call because all slots are in use and `queued` calls wait.
+    pub fn note_queueing(&mut self, queued: u32, mean_us: f64, now_us: u64) {
+        let last_hint = self.hint.map(|(hint, _)| hint);
+        let hint = last_hint.unwrap_or(self.default_hint(mean_us));
         let hint = Hint { in_flight: hint.limit, queued, ..hint };
         self.hint = Some((hint, now_us));
         self.in_flight_at_hint = self.in_flight;
     }
 
-    /// Learns from a refusal how long work takes at the target now, in percent of the usual.
-    pub fn note_slowness(&mut self, slowness_percent: u32, usual_us: f64, now_us: u64) {
-        let known = self.hint.map(|(hint, _)| hint);
-        let hint = known.unwrap_or(self.assumed_hint(usual_us));
+    /// Records the slowness of the target that a refusal reported, in percent of its normal service time.
+    pub fn note_slowness(&mut self, slowness_percent: u32, mean_us: f64, now_us: u64) {
+        let last_hint = self.hint.map(|(hint, _)| hint);
+        let hint = last_hint.unwrap_or(self.default_hint(mean_us));
         self.hint = Some((Hint { slowness_percent, ..hint }, now_us));
         self.in_flight_at_hint = self.in_flight;
     }
 
-    /// What is assumed of a target that said nothing yet.
-    fn assumed_hint(&self, usual_us: f64) -> Hint {
+    /// The hint that is assumed for a target that has sent none.
+    fn default_hint(&self, mean_us: f64) -> Hint {
         Hint {
             incarnation: 0,
             in_flight: 0,
             queued: 0,
             limit: self.slots,
-            service_us: usual_us as u32,
+            service_us: mean_us as u32,
             slowness_percent: USUAL_PERCENT,
             state: TargetState::Serving,
         }
     }
 
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent.
     pub fn note_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Notes that an attempt ended without saying anything of the target.
+    /// Records that an attempt ended.
     pub fn note_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight_at_hint = self.in_flight_at_hint.min(self.in_flight);
     }
 
-    /// Notes how an attempt that reached the target went.
+    /// Records the result of an attempt that reached the target.
     pub fn note_result(&mut self, is_error: bool, latency_us: u64, now_us: u64) {
         let error = if is_error { 1.0 } else { 0.0 };
         self.error_rate = self.error_rate(now_us);
@@ -168,7 +168,7 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// Forgets errors, for the time after an ejection.
+    /// Resets latency and errors, so that they do not cause a second ejection.
     pub fn forget_errors(&mut self) {
         self.slow_since_us = None;
         self.error_rate = 0.0;
@@ -176,7 +176,7 @@
         self.samples = 0;
     }
 
-    /// Notes whether the target is slow beside its service; since how long it is, in µs.
+    /// Records whether the target is slow compared with the others and returns for how long it has been, in µs.
     pub fn note_slow(&mut self, is_slow: bool, now_us: u64) -> u64 {
         if !is_slow {
             self.slow_since_us = None;
@@ -185,38 +185,38 @@
         now_us.saturating_sub(*self.slow_since_us.get_or_insert(now_us))
     }
 
-    /// Whether a new call may go here at all.
+    /// Whether new calls may be sent to the target.
     pub fn is_eligible(&self, now_us: u64) -> bool {
-        self.is_live && now_us >= self.free_from_us(now_us)
+        self.is_live && now_us >= self.eligible_from_us(now_us)
     }
 
-    /// From when on a new call may go here, as far as it is listed as live, in µs; not after now when it may
-    /// go at once.
-    pub fn free_from_us(&self, now_us: u64) -> u64 {
+    /// The time in µs from which new calls may be sent to the target if its host is live; not after `now_us` when
+    /// they may be sent now.
+    pub fn eligible_from_us(&self, now_us: u64) -> u64 {
         let drained_us = self.hint(now_us).filter(|_| self.is_draining(now_us));
         let drained_us = drained_us.map_or(0, |(_, age_us)| now_us - age_us + DRAINING_AGE_MAX_US + 1);
         drained_us.max(self.absent_until_us).max(self.ejection.until_us())
     }
 
-    /// Whether its guard said lately that it drains.
+    /// Whether its guard reported recently that the target drains.
     pub fn is_draining(&self, now_us: u64) -> bool {
         let hint = self.hint(now_us).filter(|(_, age_us)| *age_us <= DRAINING_AGE_MAX_US);
         hint.is_some_and(|(hint, _)| hint.state == TargetState::Draining)
     }
 
-    /// Learns from a refusal that no target of this name is to be had here for `wait_us`; a second where the
-    /// guard cannot tell.
+    /// Records that the target's guard has no target of this name and expects none for `wait_us`, or for an unknown
+    /// time if `wait_us` is 0.
     ///
-    /// The list that names another one ends this view; until then, each entry asks anew when the time is over.
+    /// The view ends when a new list has another target. Until then, a call is sent again when the time is over.
     pub fn note_absent(&mut self, wait_us: u64, now_us: u64) {
         let wait_us = if wait_us == 0 { ABSENT_US } else { wait_us.min(ABSENT_MAX_US) };
         self.absent_until_us = now_us + wait_us;
     }
 
-    /// Learns from a refusal that the target drains.
-    pub fn note_draining(&mut self, usual_us: f64, now_us: u64) {
-        let known = self.hint.map(|(hint, _)| hint);
-        let hint = known.unwrap_or(self.assumed_hint(usual_us));
+    /// Records that a guard refused a call because the target drains.
+    pub fn note_draining(&mut self, mean_us: f64, now_us: u64) {
+        let last_hint = self.hint.map(|(hint, _)| hint);
+        let hint = last_hint.unwrap_or(self.default_hint(mean_us));
         self.hint = Some((Hint { state: TargetState::Draining, ..hint }, now_us));
         self.in_flight_at_hint = self.in_flight;
     }
@@ -226,37 +226,38 @@
         self.hint.map(|(hint, at_us)| (hint, now_us.saturating_sub(at_us)))
     }
 
-    /// How long work takes there now in percent of the usual, as far as a hint is fresh enough.
+    /// The slowness of the target in percent of its normal service time. It decays towards 100 with the age of the
+    /// hint.
     pub fn slowness_percent(&self, now_us: u64) -> f64 {
-        let usual = f64::from(USUAL_PERCENT);
-        let Some((hint, age_us)) = self.hint(now_us) else { return usual };
+        let normal = f64::from(USUAL_PERCENT);
+        let Some((hint, age_us)) = self.hint(now_us) else { return normal };
         let trust = 1.0 / (1.0 + age_us as f64 / SERVICE_HALF_AGE_US);
-        usual + trust * (f64::from(hint.slowness_percent) - usual)
+        normal + trust * (f64::from(hint.slowness_percent) - normal)
     }
 
-    /// This entry's own calls running there.
+    /// Calls of this entry node in flight at the target.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Own calls sent since the hint was made and not ended yet.
+    /// Calls of this entry node that were sent since the last hint and have not ended.
     pub fn sent_since_hint(&self) -> u32 {
         self.in_flight.saturating_sub(self.in_flight_at_hint)
     }
 
-    /// Share of recent attempts that failed, 0 to 1; it fades with time.
+    /// Share of recent attempts that failed, 0 to 1; it decays with time.
     pub fn error_rate(&self, now_us: u64) -> f64 {
         let passed_us = now_us.saturating_sub(self.error_at_us) as f64;
         let rate = self.error_rate * (-passed_us / ERROR_HALF_LIFE_US).exp2();
         if rate < ERROR_RATE_MIN { 0.0 } else { rate }
     }
 
-    /// Average latency of recent successes in µs; 0 when there was none.
+    /// Moving average of the latency of successful attempts in µs; 0 before the first.
     pub fn latency_us(&self) -> f64 {
         self.latency_us
     }
 
-    /// Attempts that these averages rest on.
+    /// Number of attempts in the averages.
     pub fn samples(&self) -> u32 {
         self.samples
     }
--- a/crates/laurelstall_balance/tests/decisions.rs
+++ b/crates/laurelstall_balance/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The entry's decisions, and long random runs of them.
+//! Load balancing decisions of an entry node, in single cases and in long random runs.
 
 use laurelstall_balance::{
     hint::{Hint, TargetState},
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_least_loaded_by_fresh_hints_is_chosen() {
+fn the_least_loaded_target_by_fresh_hints_is_chosen() {
     let mut balancer = balancer(4, ServiceLimits::default());
     for index in 0..4 {
         let load = if index == 2 { 1 } else { 12 };
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_old_hint_gives_way_to_own_calls_in_flight() {
+fn own_calls_in_flight_outweigh_an_old_hint() {
     let mut balancer = balancer(2, ServiceLimits::default());
     balancer.take_hint(0, "t-0", hint(0, 0), START_US);
     balancer.take_hint(1, "t-1", hint(12, 3), START_US);
@@ -75,18 +75,18 @@
 }
 
 #[test]
-fn a_target_that_drained_for_a_restart_is_tried_again_after_a_second() {
+fn a_draining_target_is_tried_again_after_a_second() {
     let mut balancer = balancer(1, ServiceLimits::default());
     balancer.take_hint(0, "t-0", Hint { state: TargetState::Draining, ..hint(0, 0) }, START_US);
     assert_eq!(choose(&mut balancer, START_US + SECOND_US / 2), None);
     let later_us = START_US + SECOND_US + SECOND_US / 2;
-    assert_eq!(choose(&mut balancer, later_us), Some(0), "no connection tells that it is back");
+    assert_eq!(choose(&mut balancer, later_us), Some(0), "it may be back without a hint");
     balancer.note_draining(0, "t-0", later_us);
-    assert_eq!(choose(&mut balancer, later_us + SECOND_US / 2), None, "it refused: it still drains");
+    assert_eq!(choose(&mut balancer, later_us + SECOND_US / 2), None, "it refused since it still drains");
 }
 
 #[test]
-fn draining_and_leaving_targets_get_nothing() {
+fn draining_and_leaving_targets_get_no_calls() {
     let mut balancer = balancer(3, ServiceLimits::default());
     balancer.take_hint(0, "t-0", Hint { state: TargetState::Draining, ..hint(0, 0) }, START_US);
     let mut listed = views(3);
@@ -109,25 +109,25 @@
     }
     let later = START_US + 30 * SECOND_US;
     let is_chosen = (0..400).any(|step| choose(&mut balancer, later + step) == Some(0));
-    assert!(is_chosen, "it was never tried again");
+    assert!(is_chosen, "the target was never tried again");
 }
 
 #[test]
-fn never_more_than_the_set_share_is_ejected() {
+fn at_most_the_configured_percentage_is_ejected() {
     let mut balancer = balancer(6, ServiceLimits { ejected_max_percent: 34, ..ServiceLimits::default() });
-    // One after the other fails, so that each stands out among the rest.
+    // The targets fail one after the other, so that each is an outlier among the rest.
     for index in 0..6 {
         for _ in 0..20 {
             balancer.note_sent(index);
             balancer.note_result(index, &format!("t-{index}"), 0, AttemptResult::Failed, START_US);
         }
     }
-    let out = balancer.targets().iter().filter(|view| view.ejection.is_out(START_US)).count();
-    assert_eq!(out, 2);
+    let ejected = balancer.targets().iter().filter(|view| view.ejection.is_out(START_US)).count();
+    assert_eq!(ejected, 2);
 }
 
 #[test]
-fn slowness_of_half_a_second_ejects_nobody_but_slowness_that_lasts_does() {
+fn only_lasting_slowness_ejects_a_target() {
     let mut balancer = balancer(4, ServiceLimits::default());
     let mut run = |from_us: u64, length_us: u64| {
         for step in 0..100 {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_new_target_ramps_up_and_a_restarted_one_too() {
+fn new_and_restarted_targets_ramp_up() {
     let mut balancer = balancer(2, ServiceLimits::default());
     balancer.set_targets(ServiceLimits::default(), views(3));
     let count = |balancer: &mut ServiceBalancer, now_us: u64| {
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn hedges_stop_when_the_service_queues() {
+fn no_hedges_are_sent_while_the_service_queues() {
     let mut balancer = balancer(3, ServiceLimits { hedge_percent: 50, ..ServiceLimits::default() });
     for _ in 0..40 {
         balancer.note_sent(0);
@@ -179,17 +179,17 @@
 }
 
 #[test]
-fn a_refusal_teaches_without_a_hint() {
+fn a_refusal_counts_without_a_hint() {
     let mut balancer = balancer(2, ServiceLimits::default());
     balancer.note_queueing(0, "t-0", true, START_US);
     assert_eq!(choose(&mut balancer, START_US), Some(1));
-    assert!(!balancer.is_queueing(START_US), "nothing is known of the other");
+    assert!(!balancer.is_queueing(START_US), "the load of the other target is unknown");
     balancer.note_queueing(1, "t-1", true, START_US);
     assert!(balancer.is_queueing(START_US));
 }
 
 #[test]
-fn retries_stay_within_their_share() {
+fn retries_stay_within_their_percentage() {
     let mut budget = ShareBudget::new(10, 0.0);
     let mut rng = SmallRng::seed_from_u64(3);
     let mut granted = 0;
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn no_window_of_a_second_passes_the_observing_budget() {
+fn no_window_of_a_second_exceeds_the_probing_budget() {
     bolero::check!().with_type::<(u16, Vec<(u32, u16)>)>().with_iterations(2_000).for_each(
         |(rate, steps)| {
             let rate = u64::from(*rate);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_busy_budget_is_used_and_an_empty_one_spends_nothing() {
+fn the_probing_budget_is_used_and_a_budget_of_zero_grants_nothing() {
     let mut budget = ObserveBudget::new(4_000, 10);
     let mut spent = 0;
     for step in 0..10_000 {
@@ -247,7 +247,7 @@
     assert!(!none.try_take(START_US, ObserveCost { bytes: 1, messages: 0 }, 100));
 }
 
-/// Calls with any outcome in any order: the choice keeps its promises and counts never drift.
+/// Plays calls with random results in random order and checks the invariants of choices, counts and ejections.
 fn random_run(seed: u64, steps: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut balancer = balancer(5, ServiceLimits::default());
@@ -296,8 +296,8 @@
         }
         let in_flight: u32 = balancer.targets().iter().map(TargetView::in_flight).sum();
         assert_eq!(in_flight as usize, running.len());
-        let out = balancer.targets().iter().filter(|view| view.ejection.is_out(now_us)).count();
-        assert!(out <= 1, "{out} of 5 are out");
+        let ejected = balancer.targets().iter().filter(|view| view.ejection.is_out(now_us)).count();
+        assert!(ejected <= 1, "{ejected} of 5 targets are ejected");
     }
 }
 
@@ -308,7 +308,7 @@
     }
 }
 
-/// By hand: `cargo test --release -p laurelstall_balance --test decisions -- --ignored`.
+/// Run it with `cargo test --release -p laurelstall_balance --test decisions -- --ignored`.
 #[test]
 #[ignore = "runs for minutes"]
 fn much_longer_random_runs_keep_all_invariants() {
@@ -318,14 +318,14 @@
 }
 
 #[test]
-fn a_call_leaves_its_data_centre_only_when_that_is_worth_it() {
+fn a_call_leaves_its_data_centre_only_if_the_local_target_would_be_late() {
     let mut balancer = balancer(2, ServiceLimits::default());
     let mut listed = views(2);
     listed[1].change_percent = 50;
     balancer.set_targets(ServiceLimits::default(), listed);
-    let mut choose = |near: u32, useful_ms: u64| {
-        let near = Hint { slowness_percent: near, ..hint(0, 0) };
-        balancer.take_hint(0, "t-0", near, START_US);
+    let mut choose = |percent: u32, useful_ms: u64| {
+        let local = Hint { slowness_percent: percent, ..hint(0, 0) };
+        balancer.take_hint(0, "t-0", local, START_US);
         balancer.take_hint(1, "t-1", hint(0, 0), START_US);
         let useful_us = Some(useful_ms * 1_000);
         let choosing = Choosing {
@@ -339,64 +339,64 @@
         };
         balancer.choose(&choosing).expect("a target").index
     };
-    // Calls take 10 ms there, and 4 times that while the near target is slow.
-    assert_eq!(choose(100, 30), 0, "both are in time");
-    assert_eq!(choose(400, 100), 0, "the slow one is in time too");
-    assert_eq!(choose(400, 30), 1, "the near one would be late");
+    // A call takes 10 ms, or 40 ms while the local target is slow.
+    assert_eq!(choose(100, 30), 0, "both targets are in time");
+    assert_eq!(choose(400, 100), 0, "the slow target is in time too");
+    assert_eq!(choose(400, 30), 1, "the local target would be late");
 }
 
 #[test]
-fn a_target_is_slow_only_beside_the_others() {
+fn a_target_is_slow_only_compared_with_the_others() {
     let mut balancer = balancer(4, ServiceLimits::default());
-    // A cold target, at twice the usual time, takes the call, and one in a slow phase, at four times, does not.
-    assert_eq!(balancer.slow_from_percent(START_US), 300, "nothing is known");
+    // A cold target, at 200 %, takes calls, and one with a noisy neighbour, at 400 %, does not.
+    assert_eq!(balancer.slow_from_percent(START_US), 300, "no target has sent a hint");
     for index in 0..4 {
         let cold = Hint { slowness_percent: 200, ..hint(0, 0) };
         balancer.take_hint(index, &format!("t-{index}"), cold, START_US);
     }
-    assert_eq!(balancer.slow_from_percent(START_US), 400, "all are slow");
+    assert_eq!(balancer.slow_from_percent(START_US), 400, "all targets are slow");
     for index in 0..2 {
         balancer.take_hint(index, &format!("t-{index}"), hint(0, 0), START_US);
     }
-    assert_eq!(balancer.slow_from_percent(START_US), 200, "half of them are not");
-    assert_eq!(balancer.slow_from_percent(START_US + SECOND_US), 200, "what was said a second ago holds");
-    assert_eq!(balancer.slow_from_percent(START_US + 3 * SECOND_US), 300, "what was said is too old");
+    assert_eq!(balancer.slow_from_percent(START_US), 200, "half of the targets are not slow");
+    assert_eq!(balancer.slow_from_percent(START_US + SECOND_US), 200, "hints of a second ago count");
+    assert_eq!(balancer.slow_from_percent(START_US + 3 * SECOND_US), 300, "the hints are too old");
 }
 
 #[test]
-fn a_call_with_less_time_than_usual_comes_back() {
+fn a_call_with_less_than_the_typical_budget_is_a_retry() {
     let mut budgets = UsualBudgets::default();
     for _ in 0..20 {
-        assert!(!budgets.note(1, 800), "the usual budget");
+        assert!(!budgets.note(1, 800), "the typical budget");
     }
-    assert!(budgets.note(1, 610), "a part of it was used before");
-    assert!(!budgets.note(1, 2_400), "a patient caller");
-    assert!(!budgets.note(2, 610), "nothing is known of this class");
+    assert!(budgets.note(1, 610), "part of the budget was spent before");
+    assert!(!budgets.note(1, 2_400), "a longer budget");
+    assert!(!budgets.note(2, 610), "the class is unknown");
 }
 
 #[test]
-fn budgets_that_are_all_different_tell_nothing() {
+fn without_a_typical_budget_no_call_is_a_retry() {
     let mut budgets = UsualBudgets::default();
     let is_any = (0..2_000u64).any(|call| budgets.note(1, 100 + call * 37 % 900));
     assert!(!is_any);
 }
 
 #[test]
-fn most_calls_may_come_back_and_the_usual_budget_is_still_known() {
+fn the_typical_budget_is_found_although_most_calls_are_retries() {
     let mut budgets = UsualBudgets::default();
-    let mut known = 0;
+    let mut detected = 0;
     for call in 0..900u64 {
-        let is_return = call % 3 != 0;
-        let budget_ms = if is_return { 300 + call * 7 % 400 } else { 800 };
-        let is_told = budgets.note(1, budget_ms);
-        assert!(is_return || !is_told);
-        known += u32::from(is_told);
+        let is_retry = call % 3 != 0;
+        let budget_ms = if is_retry { 300 + call * 7 % 400 } else { 800 };
+        let is_detected = budgets.note(1, budget_ms);
+        assert!(is_retry || !is_detected);
+        detected += u32::from(is_detected);
     }
-    assert!(known > 500, "{known} of 600");
+    assert!(detected > 500, "{detected} of 600");
 }
 
 #[test]
-fn of_many_targets_a_near_one_is_found_whenever_one_is_as_good() {
+fn of_many_equal_targets_a_local_one_is_chosen() {
     let mut balancer = ServiceBalancer::new(ServiceLimits::default(), Box::new(LeastWait::default()), 7);
     let mut listed = views(30);
     for view in &mut listed[6..] {
@@ -406,16 +406,16 @@
     for index in 0..30 {
         balancer.take_hint(index, &format!("t-{index}"), hint(1, 0), START_US);
     }
-    let far = (0..500).filter(|_| {
+    let remote = (0..500).filter(|_| {
         let choice = choose(&mut balancer, START_US).expect("all are eligible");
         balancer.note_result(choice, &format!("t-{choice}"), 0, AttemptResult::Cancelled, START_US);
         choice >= 6
     });
-    assert_eq!(far.count(), 0);
+    assert_eq!(remote.count(), 0);
 }
 
 #[test]
-fn a_call_that_busy_targets_refused_leaves_its_data_centre() {
+fn a_call_that_busy_local_targets_refused_leaves_its_data_centre() {
     let mut balancer = balancer(3, ServiceLimits::default());
     let mut listed = views(3);
     listed[2].change_percent = 90;
@@ -436,6 +436,6 @@
         };
         balancer.choose(&choosing).expect("a target").index
     };
-    assert_eq!(choose(false), 1, "a near one is tried first");
-    assert_eq!(choose(true), 2, "then it goes where there is room");
+    assert_eq!(choose(false), 1, "a local target is tried first");
+    assert_eq!(choose(true), 2, "then the call goes to an idle remote target");
 }
--- a/crates/laurelstall_balance/tests/restarts.rs
+++ b/crates/laurelstall_balance/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their name: nothing that was believed of the start before holds.
+//! A restart of a target under the same name resets what is known of it.
 
 use laurelstall_balance::{
     hint::{Hint, TargetState},
@@ -20,8 +20,8 @@
     (0..3).map(view).collect()
 }
 
-/// A balancer whose first target, started then, has failed until it was ejected.
-fn ejected_first(started_unix_ms: u64) -> ServiceBalancer {
+/// A balancer whose first target, which started at `started_unix_ms`, is ejected for errors.
+fn balancer_with_ejected_target(started_unix_ms: u64) -> ServiceBalancer {
     let limits = ServiceLimits::default();
     let mut balancer = ServiceBalancer::new(limits, Box::new(LeastWait::default()), 7);
     balancer.set_targets(limits, views(started_unix_ms, START_US));
@@ -45,33 +45,33 @@
 }
 
 fn is_eligible(balancer: &ServiceBalancer) -> bool {
-    first(balancer).is_eligible(START_US)
+    first_view(balancer).is_eligible(START_US)
 }
 
-fn first(balancer: &ServiceBalancer) -> &TargetView {
+fn first_view(balancer: &ServiceBalancer) -> &TargetView {
     let view = balancer.targets().iter().find(|view| view.name == "t-0");
-    view.expect("it is listed")
+    view.expect("the target is listed")
 }
 
 #[test]
-fn another_start_is_seen_afresh_whichever_way_the_clock_went() {
+fn a_restart_resets_the_view_even_if_the_clock_went_back() {
     for (before, now) in [(1_000, 2_000), (2_000, 1_000)] {
-        let mut balancer = ejected_first(before);
+        let mut balancer = balancer_with_ejected_target(before);
         balancer.set_targets(ServiceLimits::default(), views(now, START_US));
         assert!(is_eligible(&balancer), "{before} {now}");
-        assert_eq!(first(&balancer).error_rate(START_US), 0.0);
-        assert!(first(&balancer).hint(START_US).is_none());
+        assert_eq!(first_view(&balancer).error_rate(START_US), 0.0);
+        assert!(first_view(&balancer).hint(START_US).is_none());
     }
 }
 
 #[test]
-fn attempts_at_the_start_before_still_end_at_the_view() {
-    let mut balancer = ejected_first(1_000);
+fn attempts_from_before_a_restart_are_still_counted_down() {
+    let mut balancer = balancer_with_ejected_target(1_000);
     balancer.set_targets(ServiceLimits::default(), views(2_000, START_US));
-    assert_eq!(first(&balancer).in_flight(), 1);
-    let index = balancer.targets().iter().position(|view| view.name == "t-0").expect("it is listed");
+    assert_eq!(first_view(&balancer).in_flight(), 1);
+    let index = balancer.targets().iter().position(|view| view.name == "t-0").expect("the target is listed");
     balancer.note_result(index, "t-0", 0, AttemptResult::Cancelled, START_US);
-    assert_eq!(first(&balancer).in_flight(), 0);
+    assert_eq!(first_view(&balancer).in_flight(), 0);
     let choosing = Choosing {
         excluded: &[],
         only: Some("t-0"),
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn a_start_that_is_not_told_changes_nothing() {
+fn an_unknown_or_equal_start_time_changes_nothing() {
     for (before, now) in [(0, 2_000), (1_000, 0), (1_000, 1_000)] {
-        let mut balancer = ejected_first(before);
+        let mut balancer = balancer_with_ejected_target(before);
         balancer.set_targets(ServiceLimits::default(), views(now, START_US));
         assert!(!is_eligible(&balancer), "{before} {now}");
     }
--- a/crates/laurelstall_crash/src/crash_record.rs
+++ b/crates/laurelstall_crash/src/crash_record.rs
@@ -1,167 +1,175 @@
-//! What is known of one request that was at work when targets ended.
+//! The crashes, successful runs and releases of one suspected request.
 
 use crate::request_digest::RequestDigest;
 use serde::{Deserialize, Serialize};
 
-/// How long before an end a run that ended well still speaks for the request, in µs.
+/// Time in µs after a successful run in which crashes do not count against the request.
 ///
-/// What is asked all the time is at work at any target that ends, several at one instant when a rack loses power, and has
-/// just run well elsewhere. A request that ends every target it runs on has no such run.
-pub const GOOD_RUN_SHIELD_US: i64 = 2_000_000;
-/// Most ends kept of one request: the latest ones.
-const ENDS_MAX: usize = 16;
-/// Ends with longer pauses than this between them belong to different spells, in µs: within one, arrivals that were on
-/// their way when the request was held back end targets too.
-const SPELL_PAUSE_US: i64 = 30_000_000;
-/// Oldest news that are told apart from older ones, in ms: thirty days, far longer than any hold that ends by itself.
+/// A frequent harmless request is running at any target that crashes, but it has also just succeeded elsewhere. A
+/// request that crashes every target it runs on has no successful run.
+pub const SUCCESS_SHIELD_US: i64 = 2_000_000;
+/// Largest number of crashes that are kept for one request; older ones are dropped.
+const CRASHES_MAX: usize = 16;
+/// Pause in µs between two crashes that separates two bursts. Within a burst, requests that were in flight when the
+/// quarantine began still crash targets.
+const BURST_PAUSE_US: i64 = 30_000_000;
+/// Upper limit in ms of the ages in a report: thirty days, far longer than the longest timed quarantine.
 const AGE_MAX_MS: u64 = 2_592_000_000;
-/// Differences between the times of two nodes that are not worth telling, in µs: what news take on their way.
+/// Difference in µs between the times of two nodes that is ignored: the delay of a report.
 const TIME_SLACK_US: i64 = 500_000;
 
-/// An end of a target under the request.
+/// A crash of a target while the request was running there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashEnd {
-    /// Number of the end, alike at all nodes.
+    /// The id of the crash, equal at all nodes.
     pub id: u64,
-    /// When it was, in µs of the node's clock; negative before the node started.
+    /// The time of the crash in µs of the node's clock; negative before the node started.
     pub at_us: i64,
 }
 
-/// An end as it is told to another node.
+/// A crash in a report to another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndNews {
-    /// Number of the end.
+    /// The id of the crash.
     pub id: u64,
-    /// Since it happened, in ms.
+    /// The time since the crash in ms.
     pub age_ms: u64,
 }
 
-/// What one node tells another of one request.
+/// A report on one request from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNews {
     /// The request.
     pub digest: RequestDigest,
-    /// Full name of the service whose targets ended.
+    /// Full name of the service whose targets crashed.
     pub service: String,
-    /// The ends.
+    /// The crashes while the request was running.
     pub ends: Vec<EndNews>,
-    /// Since a run of it ended well last, in ms; none when no node remembers one.
+    /// Time in ms since the last successful run; `None` when none is remembered.
     pub good_run_age_ms: Option<u64>,
-    /// Since an operator let it go last, in ms; none when none did.
+    /// Time in ms since an operator last released the request; `None` when none did.
     pub release_age_ms: Option<u64>,
 }
 
-/// What is known of one request.
+/// What one node knows of one request that was running when targets crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashRecord {
     /// The request.
     pub digest: RequestDigest,
-    /// Full name of the service whose targets ended.
+    /// Full name of the service whose targets crashed.
     pub service: String,
-    ends: Vec<CrashEnd>,
-    /// When a run of it ended well last, in µs of the node's clock.
-    good_run_us: Option<i64>,
-    /// When an operator let it go last, in µs of the node's clock.
+    /// The latest crashes, earliest first.
+    crashes: Vec<CrashEnd>,
+    /// The time of the last successful run in µs of the node's clock.
+    success_us: Option<i64>,
+    /// The time of the last release by an operator in µs of the node's clock.
     release_us: Option<i64>,
 }
 
 impl CrashRecord {
-    /// Nothing is known of the request yet.
+    /// Creates an empty record.
     pub fn new(digest: RequestDigest, service: &str) -> Self {
-        Self { digest, service: service.to_owned(), ends: Vec::new(), good_run_us: None, release_us: None }
+        Self { digest, service: service.to_owned(), crashes: Vec::new(), success_us: None, release_us: None }
     }
 
-    /// Takes an end; whether it is news. Of two times that nodes tell of one end the earlier holds: news arrive late.
-    pub fn take_end(&mut self, end: CrashEnd) -> bool {
-        if let Some(known) = self.ends.iter_mut().find(|known| known.id == end.id) {
-            known.at_us = known.at_us.min(end.at_us);
+    /// Adds a crash and returns whether it is new. Of several times for one crash the earliest is kept, because
+    /// reports arrive late.
+    pub fn add_crash(&mut self, crash: CrashEnd) -> bool {
+        if let Some(known) = self.crashes.iter_mut().find(|known| known.id == crash.id) {
+            known.at_us = known.at_us.min(crash.at_us);
             return false;
         }
-        if self.ends.len() >= ENDS_MAX && self.ends.iter().all(|known| known.at_us >= end.at_us) {
+        if self.crashes.len() >= CRASHES_MAX && self.crashes.iter().all(|known| known.at_us >= crash.at_us) {
             return false;
         }
-        self.ends.push(end);
-        self.ends.sort_by_key(|end| end.at_us);
-        if self.ends.len() > ENDS_MAX {
-            self.ends.remove(0);
+        self.crashes.push(crash);
+        self.crashes.sort_by_key(|crash| crash.at_us);
+        if self.crashes.len() > CRASHES_MAX {
+            self.crashes.remove(0);
         }
         true
     }
 
-    /// Notes that a run of the request ended well; whether that is news.
-    pub fn take_good_run(&mut self, at_us: i64) -> bool {
-        take_later(&mut self.good_run_us, at_us)
+    /// Records a successful run of the request and returns whether it is later than the last known one.
+    pub fn add_success(&mut self, at_us: i64) -> bool {
+        update_if_later(&mut self.success_us, at_us)
     }
 
-    /// Notes that an operator let the request go: no earlier end speaks against it any more. Whether that is news.
-    pub fn take_release(&mut self, at_us: i64) -> bool {
-        take_later(&mut self.release_us, at_us)
+    /// Records a release by an operator, after which earlier crashes no longer count. Returns whether it is later than
+    /// the last known one.
+    pub fn add_release(&mut self, at_us: i64) -> bool {
+        update_if_later(&mut self.release_us, at_us)
     }
 
-    /// Whether a run of the request is known that ended well.
-    pub fn has_run_well(&self) -> bool {
-        self.good_run_us.is_some()
+    /// Whether a successful run of the request is known.
+    pub fn has_succeeded(&self) -> bool {
+        self.success_us.is_some()
     }
 
-    /// The ends that speak against the request, earliest first: those that no good run and no operator answers.
-    pub fn counted(&self) -> &[CrashEnd] {
-        let shielded_us = self.good_run_us.map_or(i64::MIN, |at_us| at_us + GOOD_RUN_SHIELD_US);
+    /// The crashes that count against the request, earliest first: those after its last release and more than
+    /// [`SUCCESS_SHIELD_US`] after its last successful run.
+    pub fn counted_crashes(&self) -> &[CrashEnd] {
+        let shielded_us = self.success_us.map_or(i64::MIN, |at_us| at_us + SUCCESS_SHIELD_US);
         let released_us = self.release_us.unwrap_or(i64::MIN);
         let from_us = shielded_us.max(released_us);
-        let first = self.ends.partition_point(|end| end.at_us <= from_us);
-        &self.ends[first..]
+        let first = self.crashes.partition_point(|crash| crash.at_us <= from_us);
+        &self.crashes[first..]
     }
 
-    /// Since the last end, in µs; none when no end is known.
-    pub fn last_end_age_us(&self, now_us: i64) -> Option<i64> {
-        self.ends.last().map(|end| now_us - end.at_us)
+    /// The time since the last crash in µs; `None` when no crash is known.
+    pub fn last_crash_age_us(&self, now_us: i64) -> Option<i64> {
+        self.crashes.last().map(|crash| now_us - crash.at_us)
     }
 
-    /// Spells of ends that speak against the request: the first one, and one for each trial that failed.
-    pub fn spells(&self) -> usize {
-        let counted = self.counted();
-        let is_pause = |pair: &&[CrashEnd]| pair[1].at_us - pair[0].at_us > SPELL_PAUSE_US;
+    /// The number of bursts of counted crashes: the first one, and one for each failed trial after a quarantine.
+    pub fn crash_bursts(&self) -> usize {
+        let counted = self.counted_crashes();
+        let is_pause = |pair: &&[CrashEnd]| pair[1].at_us - pair[0].at_us > BURST_PAUSE_US;
         usize::from(!counted.is_empty()) + counted.windows(2).filter(is_pause).count()
     }
 
-    /// What another node is told.
-    pub fn news(&self, now_us: i64) -> CrashNews {
+    /// The report on this request for other nodes.
+    pub fn report(&self, now_us: i64) -> CrashNews {
         let age_ms = |at_us: i64| u64::try_from((now_us - at_us) / 1_000).unwrap_or(0);
         CrashNews {
             digest: self.digest,
             service: self.service.clone(),
-            ends: self.ends.iter().map(|end| EndNews { id: end.id, age_ms: age_ms(end.at_us) }).collect(),
-            good_run_age_ms: self.good_run_us.map(age_ms),
+            ends: self
+                .crashes
+                .iter()
+                .map(|crash| EndNews { id: crash.id, age_ms: age_ms(crash.at_us) })
+                .collect(),
+            good_run_age_ms: self.success_us.map(age_ms),
             release_age_ms: self.release_us.map(age_ms),
         }
     }
 
-    /// Takes what another node told; whether any of it is news.
-    pub fn take_news(&mut self, news: &CrashNews, now_us: i64) -> bool {
+    /// Merges a report of another node and returns whether it has anything new.
+    pub fn merge_report(&mut self, report: &CrashNews, now_us: i64) -> bool {
         let at_us = |age_ms: u64| now_us - i64::try_from(age_ms.min(AGE_MAX_MS)).unwrap_or(0) * 1_000;
-        let mut is_news = false;
-        for end in news.ends.iter().take(ENDS_MAX) {
-            is_news |= self.take_end(CrashEnd { id: end.id, at_us: at_us(end.age_ms) });
+        let mut has_changed = false;
+        for crash in report.ends.iter().take(CRASHES_MAX) {
+            has_changed |= self.add_crash(CrashEnd { id: crash.id, at_us: at_us(crash.age_ms) });
         }
-        if let Some(age_ms) = news.good_run_age_ms {
-            is_news |= self.take_good_run(at_us(age_ms));
+        if let Some(age_ms) = report.good_run_age_ms {
+            has_changed |= self.add_success(at_us(age_ms));
         }
-        if let Some(age_ms) = news.release_age_ms {
-            is_news |= self.take_release(at_us(age_ms));
+        if let Some(age_ms) = report.release_age_ms {
+            has_changed |= self.add_release(at_us(age_ms));
         }
-        is_news
+        has_changed
     }
 
-    /// Numbers of the ends, in an order that is alike at all nodes.
-    pub fn end_ids(&self) -> Vec<u64> {
-        let mut ids = self.ends.iter().map(|end| end.id).collect::<Vec<_>>();
+    /// The sorted ids of the crashes.
+    pub fn crash_ids(&self) -> Vec<u64> {
+        let mut ids = self.crashes.iter().map(|crash| crash.id).collect::<Vec<_>>();
         ids.sort_unstable();
         ids
     }
 }
 
-/// Takes the later of two times; whether it is later by enough to be told.
-fn take_later(known_us: &mut Option<i64>, at_us: i64) -> bool {
+/// Keeps the later of two times. Returns whether the new one is later by enough to be reported.
+fn update_if_later(known_us: &mut Option<i64>, at_us: i64) -> bool {
     if known_us.is_some_and(|known_us| at_us <= known_us + TIME_SLACK_US) {
         return false;
     }
--- a/crates/laurelstall_crash/src/crash_table.rs
+++ b/crates/laurelstall_crash/src/crash_table.rs
@@ -1,121 +1,123 @@
-//! Which requests are held back since targets end under them.
+//! Decides which requests are quarantined because targets crashed while running them.
 //!
-//! A target ends with several requests at work, one of which may be to blame. What was at work at two ends, and has not
-//! run well since shortly before the first of them, is held back; of what ever ran well, more is wanted: a request that
-//! ends every target it runs on has no good run, and a harmless one that is asked often always has one. Nodes tell each
-//! other of ends, by number, and of good runs, so all come to the same sum.
+//! When a target crashes, any of its running requests may be the cause. A request that was running at two crashes,
+//! and has not succeeded since shortly before the first of them, is quarantined. A request that succeeded before
+//! needs more crashes: one that crashes every target has no successful run, and a frequent harmless one always has
+//! one. Nodes exchange crashes, by id, and successful runs, so all of them reach the same decision.
 
 use crate::{
     crash_record::{CrashEnd, CrashNews, CrashRecord},
-    good_runs::GoodRuns,
+    good_runs::SuccessfulRuns,
     request_digest::RequestDigest,
 };
 use std::{cmp::Reverse, collections::BTreeMap};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Ends after which a request is held back. One says little: all requests at work are at that end. With two, a request that
-/// comes 0.5, 5 and 20 times a second ends 2.04, 2.49 and 3.27 targets until it is held back (means of 100 runs of the model
-/// in `tests/blame_model.rs`); a third would cost one target more each time.
-pub const HOLD_ENDS: usize = 2;
-/// Ends after which a request is held back that is known to have run well: what is asked often has no good run for a while
-/// where few targets stand, and is at work at each end.
-pub const HOLD_ENDS_RAN_WELL: usize = 4;
-/// Most requests of one service that are held back: targets that end whatever they run must not have all their requests
-/// held back.
-const HELD_MAX: usize = 32;
-/// Most requests of which anything is kept, some 50 KB.
+/// Number of crashes after which a request is quarantined. One is not enough, because it counts for all requests that
+/// were running; each further one costs another target (`tests/blame_model.rs`).
+pub const QUARANTINE_CRASHES: usize = 2;
+/// Number of crashes after which a request with a known successful run is quarantined. A frequent harmless request may
+/// have no successful run for a while when few targets are up, and it is running at each crash.
+pub const QUARANTINE_CRASHES_AFTER_SUCCESS: usize = 4;
+/// Largest number of quarantined requests of one service: when targets crash whatever they run, most requests must
+/// still reach them.
+const QUARANTINED_MAX: usize = 32;
+/// Largest number of records, which takes about 50 KB.
 const RECORDS_MAX: usize = 256;
-/// After so long without a further end, a request that is not held back is forgotten, in µs.
+/// Time in µs since its last crash after which a request is forgotten if it is not quarantined.
 const FORGET_AFTER_US: i64 = 600_000_000;
-/// How long a request is held back until one arrival may find out whether it still ends targets, by the trials that
-/// failed, in µs: 5 minutes, 1 hour, 12 hours. After the last one only an operator, or a good run, lets it go: each
-/// trial may cost a target, and a request may be tried three times in all.
-const HOLD_US: [i64; 3] = [300_000_000, 3_600_000_000, 43_200_000_000];
-/// When the caller of a request that is held back for good is told to come back, in ms.
-const FOR_GOOD_RETRY_MS: u64 = 86_400_000;
-
-/// How a request stands.
+/// Duration of the quarantine in µs before one trial request is let through, by the number of failed trials: 5
+/// minutes, 1 hour, 12 hours. After three failed trials only a successful run or an operator ends the quarantine,
+/// because each trial may cost a target.
+const QUARANTINE_US: [i64; 3] = [300_000_000, 3_600_000_000, 43_200_000_000];
+/// Retry-after time in ms of a request whose quarantine has no end.
+const UNLIMITED_RETRY_AFTER_MS: u64 = 86_400_000;
+
+/// Whether a request is suspected or quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// No crash counts against the request.
     Harmless,
-    /// It was at work at so many ends, too few to hold it back.
+    /// The request was running at this many crashes, too few for a quarantine.
     Suspected(usize),
-    /// It is held back.
+    /// The request is quarantined.
     Held {
-        /// When it may be tried again, in ms.
+        /// Time in ms after which a trial may be made.
         retry_after_ms: u64,
     },
-    /// It was held back for so long that one arrival may find out.
+    /// The quarantine is over and one trial request may be let through.
     Trial,
 }
 
-/// A request as operators see it.
+/// A suspected or quarantined request, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashState {
     /// The request.
     pub digest: RequestDigest,
-    /// Full name of the service whose targets ended.
+    /// Full name of the service whose targets crashed.
     pub service: String,
-    /// How it stands.
+    /// Its current status.
     pub verdict: Verdict,
-    /// Ends that speak against it.
+    /// The number of crashes that count against it.
     pub ends: usize,
-    /// Since the last one, in ms.
+    /// The time since the last crash in ms.
     pub last_end_age_ms: u64,
 }
 
-/// What is known of requests and the ends of targets.
+/// All requests of which one node knows that they were running when targets crashed.
 #[derive(Debug, Default)]
 pub struct CrashTable {
+    /// Records by [`RequestDigest::whole`].
     records: BTreeMap<u64, CrashRecord>,
-    good_runs: GoodRuns,
+    successful_runs: SuccessfulRuns,
 }
 
 impl CrashTable {
-    /// Notes that a target of `service` ended while these requests were at work there; those of which that is news.
+    /// Records a crash of a target of `service` that was running these requests. Returns those for which the crash is
+    /// new.
     pub fn note_end(
         &mut self,
-        end: CrashEnd,
+        crash: CrashEnd,
         service: &str,
         digests: &[RequestDigest],
         now_us: i64,
     ) -> Vec<RequestDigest> {
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for digest in digests {
             let record = self.record(*digest, service);
-            if record.take_end(end) {
-                news.push(*digest);
+            if record.add_crash(crash) {
+                changed.push(*digest);
             }
-            self.recall_good_run(digest.whole);
+            self.apply_remembered_success(digest.whole);
         }
         self.prune(now_us);
-        news
+        changed
     }
 
-    /// Notes that a run of a request ended well; whether that is news for other nodes.
+    /// Records a successful run of a request and returns whether other nodes should learn of it.
     pub fn note_good(&mut self, digest: RequestDigest, now_us: i64) -> bool {
-        self.good_runs.note(digest.whole, now_us);
+        self.successful_runs.note(digest.whole, now_us);
         let record = self.records.get_mut(&digest.whole);
-        record.is_some_and(|record| !record.counted().is_empty() && record.take_good_run(now_us))
+        record.is_some_and(|record| !record.counted_crashes().is_empty() && record.add_success(now_us))
     }
 
-    /// Lets a request go at an operator's word: no end so far speaks against it any more, but each further one does. None
-    /// when nothing speaks against it.
+    /// Releases a request for an operator: its crashes so far no longer count, but further ones do.
+    /// Returns `None` when no crash counts against it.
     pub fn release(&mut self, whole: u64, now_us: i64) -> Option<RequestDigest> {
-        let record = self.records.get_mut(&whole).filter(|record| !record.counted().is_empty())?;
-        record.take_release(now_us);
+        let record = self.records.get_mut(&whole).filter(|record| !record.counted_crashes().is_empty())?;
+        record.add_release(now_us);
         Some(record.digest)
     }
 
-    /// Takes what another node told; the requests of which any of it is news.
-    pub fn take_news(&mut self, news: &[CrashNews], now_us: i64) -> Vec<RequestDigest> {
+    /// Merges the reports of another node. Returns the requests of which they have anything new, or of which this node
+    /// knows a successful run that the reports lack.
+    pub fn take_news(&mut self, reports: &[CrashNews], now_us: i64) -> Vec<RequestDigest> {
         let mut changed = Vec::new();
-        for told in news.iter().take(RECORDS_MAX) {
-            let record = self.record(told.digest, &told.service);
-            let is_news = record.take_news(told, now_us);
-            if self.recall_good_run(told.digest.whole) || is_news {
-                changed.push(told.digest);
+        for report in reports.iter().take(RECORDS_MAX) {
+            let record = self.record(report.digest, &report.service);
+            let has_changed = record.merge_report(report, now_us);
+            if self.apply_remembered_success(report.digest.whole) || has_changed {
+                changed.push(report.digest);
             }
         }
         self.prune(now_us);
@@ -123,50 +125,51 @@
         changed
     }
 
-    /// What is told of these requests.
+    /// The reports on these requests for other nodes.
     pub fn news_of(&self, digests: &[RequestDigest], now_us: i64) -> Vec<CrashNews> {
         let records = digests.iter().filter_map(|digest| self.records.get(&digest.whole));
-        records.map(|record| record.news(now_us)).collect()
+        records.map(|record| record.report(now_us)).collect()
     }
 
-    /// What is told of all requests.
+    /// The reports on all requests for other nodes.
     pub fn all_news(&self, now_us: i64) -> Vec<CrashNews> {
-        self.records.values().map(|record| record.news(now_us)).collect()
+        self.records.values().map(|record| record.report(now_us)).collect()
     }
 
-    /// A hash of what is known, by which two nodes find out that one of them knows more.
+    /// A hash of all records. Two nodes compare it to detect that one of them knows more.
     pub fn hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for (whole, record) in &self.records {
             hasher.update(&whole.to_le_bytes());
-            hasher.update(&[record.counted().len() as u8]);
-            for id in record.end_ids() {
+            hasher.update(&[record.counted_crashes().len() as u8]);
+            for id in record.crash_ids() {
                 hasher.update(&id.to_le_bytes());
             }
         }
         hasher.digest()
     }
 
-    /// How a request stands.
+    /// The current status of a request.
     pub fn verdict(&self, digest: RequestDigest, now_us: i64) -> Verdict {
-        self.records.get(&digest.whole).map_or(Verdict::Harmless, |record| self.judge(record, now_us))
+        self.records.get(&digest.whole).map_or(Verdict::Harmless, |record| self.status_of(record, now_us))
     }
 
-    /// Whether a request with this head was at work when a target ended: the body of one more must be read to tell it
-    /// from that one.
+    /// Whether crashes count against a request with this head. The body of another request with this head must be read
+    /// to tell the two apart.
     pub fn knows_head(&self, head: u64) -> bool {
-        self.records.values().any(|record| record.digest.head == head && !record.counted().is_empty())
+        self.records.values().any(|record| record.digest.head == head && !record.counted_crashes().is_empty())
     }
 
-    /// All requests that anything speaks against.
+    /// All requests with counted crashes.
     pub fn states(&self, now_us: i64) -> Vec<CrashState> {
-        let suspects = self.records.values().filter(|record| !record.counted().is_empty());
+        let suspects = self.records.values().filter(|record| !record.counted_crashes().is_empty());
         let state = |record: &CrashRecord| CrashState {
             digest: record.digest,
             service: record.service.clone(),
-            verdict: self.judge(record, now_us),
-            ends: record.counted().len(),
-            last_end_age_ms: u64::try_from(record.last_end_age_us(now_us).unwrap_or(0) / 1_000).unwrap_or(0),
+            verdict: self.status_of(record, now_us),
+            ends: record.counted_crashes().len(),
+            last_end_age_ms: u64::try_from(record.last_crash_age_us(now_us).unwrap_or(0) / 1_000)
+                .unwrap_or(0),
         };
         suspects.map(state).collect()
     }
@@ -175,47 +178,49 @@
         self.records.entry(digest.whole).or_insert_with(|| CrashRecord::new(digest, service))
     }
 
-    /// Has a remembered good run speak for a request; whether that is news.
-    fn recall_good_run(&mut self, whole: u64) -> bool {
-        let Some(at_us) = self.good_runs.last_us(whole) else { return false };
+    /// Adds a remembered successful run to the record of a request and returns whether it is new there.
+    fn apply_remembered_success(&mut self, whole: u64) -> bool {
+        let Some(at_us) = self.successful_runs.last_us(whole) else { return false };
         let record = self.records.get_mut(&whole);
-        record.is_some_and(|record| !record.counted().is_empty() && record.take_good_run(at_us))
+        record.is_some_and(|record| !record.counted_crashes().is_empty() && record.add_success(at_us))
     }
 
-    fn judge(&self, record: &CrashRecord, now_us: i64) -> Verdict {
-        let ends = record.counted().len();
-        if ends == 0 {
+    fn status_of(&self, record: &CrashRecord, now_us: i64) -> Verdict {
+        let crashes = record.counted_crashes().len();
+        if crashes == 0 {
             return Verdict::Harmless;
         }
-        if !self.is_held(record) {
-            return Verdict::Suspected(ends);
+        if !self.is_quarantined(record) {
+            return Verdict::Suspected(crashes);
         }
-        let Some(hold_us) = HOLD_US.get(record.spells().saturating_sub(1)) else {
-            return Verdict::Held { retry_after_ms: FOR_GOOD_RETRY_MS };
+        let Some(quarantine_us) = QUARANTINE_US.get(record.crash_bursts().saturating_sub(1)) else {
+            return Verdict::Held { retry_after_ms: UNLIMITED_RETRY_AFTER_MS };
         };
-        let left_us = hold_us - record.last_end_age_us(now_us).unwrap_or(0);
+        let left_us = quarantine_us - record.last_crash_age_us(now_us).unwrap_or(0);
         match u64::try_from(left_us) {
             Ok(left_us) if left_us > 0 => Verdict::Held { retry_after_ms: left_us.div_ceil(1_000) },
             _ => Verdict::Trial,
         }
     }
 
-    /// Whether a request was at work at enough ends, and is among the first of its service.
-    fn is_held(&self, record: &CrashRecord) -> bool {
-        let Some(own) = hold_rank(record) else { return false };
+    /// Whether a request has enough crashes and is among the first of its service, of which only so many are
+    /// quarantined.
+    fn is_quarantined(&self, record: &CrashRecord) -> bool {
+        let Some(own) = quarantine_rank(record) else { return false };
         let others = self.records.values().filter(|other| other.service == record.service);
-        others.filter_map(hold_rank).filter(|rank| *rank < own).count() < HELD_MAX
+        others.filter_map(quarantine_rank).filter(|rank| *rank < own).count() < QUARANTINED_MAX
     }
 
-    /// Forgets what is old, and what speaks least against requests when too much is known.
+    /// Removes old records and, when there are too many, those with the fewest and oldest crashes.
     fn prune(&mut self, now_us: i64) {
         let is_recent = |record: &CrashRecord| {
-            record.last_end_age_us(now_us).is_some_and(|age_us| age_us < FORGET_AFTER_US)
+            record.last_crash_age_us(now_us).is_some_and(|age_us| age_us < FORGET_AFTER_US)
         };
-        self.records.retain(|_, record| is_recent(record) || hold_rank(record).is_some());
+        self.records.retain(|_, record| is_recent(record) || quarantine_rank(record).is_some());
         while self.records.len() > RECORDS_MAX {
-            let strength =
-                |record: &CrashRecord| (record.counted().len(), Reverse(record.last_end_age_us(now_us)));
+            let strength = |record: &CrashRecord| {
+                (record.counted_crashes().len(), Reverse(record.last_crash_age_us(now_us)))
+            };
             let weakest = self.records.iter().min_by_key(|(_, record)| strength(record));
             let Some(weakest) = weakest.map(|(whole, _)| *whole) else { return };
             self.records.remove(&weakest);
@@ -223,11 +228,11 @@
     }
 }
 
-/// Which requests are held back before others: those with more ends, then those that reached the bound first. None for
-/// a request with too few ends.
-fn hold_rank(record: &CrashRecord) -> Option<(Reverse<usize>, i64, u64)> {
-    let counted = record.counted();
-    let wanted = if record.has_run_well() { HOLD_ENDS_RAN_WELL } else { HOLD_ENDS };
-    let reached = counted.get(wanted - 1)?;
+/// The order in which requests are quarantined: those with more crashes first, then those that reached the required
+/// number first. `None` for a request with too few crashes.
+fn quarantine_rank(record: &CrashRecord) -> Option<(Reverse<usize>, i64, u64)> {
+    let counted = record.counted_crashes();
+    let required = if record.has_succeeded() { QUARANTINE_CRASHES_AFTER_SUCCESS } else { QUARANTINE_CRASHES };
+    let reached = counted.get(required - 1)?;
     Some((Reverse(counted.len()), reached.at_us, record.digest.whole))
 }
--- a/crates/laurelstall_crash/src/lib.rs
+++ b/crates/laurelstall_crash/src/lib.rs
@@ -1,6 +1,6 @@
-//! What requests did to targets: which requests were at work when a target ended, and which are held back for it.
+//! Tracks which requests were running when a target crashed, and quarantines those that seem to cause crashes.
 //!
-//! Nothing in this crate reads a clock, a socket or a random number: whoever uses it says what happened and when.
+//! Nothing in this crate reads a clock, a socket or a random number; users pass in events and times.
 
 pub mod crash_record;
 pub mod crash_table;
@@ -8,7 +8,7 @@
 pub mod request_digest;
 pub mod run_watch;
 
-/// The types most callers need.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::{
         crash_record::{CrashEnd, CrashNews, CrashRecord},
--- a/crates/laurelstall_crash/src/request_digest.rs
+++ b/crates/laurelstall_crash/src/request_digest.rs
@@ -1,39 +1,39 @@
-//! What makes two requests the same one.
+//! The identity of a request, as a hash.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What is hashed in place of a body that is passed on as it comes, and not known when the request is placed.
+/// Hashed in place of a streamed body, which is unknown when the target of the request is chosen.
 const STREAMED_BODY: &[u8] = b"\0streamed";
 
-/// The identity of a request: the same for each arrival with the same method, host, path, caller and body.
+/// The identity of a request: equal for all requests with the same method, host, path, caller and body.
 ///
-/// Headers that differ between the arrivals of one request, such as ids and time budgets, are no part of it. Logs show
-/// [`RequestDigest::whole`] only, never what it was made of.
+/// Other headers are left out, because ids and time budgets differ between the attempts of one request. Logs show only
+/// [`RequestDigest::whole`], never the hashed parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestDigest {
-    /// Hash of everything, the body included.
+    /// Hash of head and body.
     pub whole: u64,
-    /// Hash of everything but the body.
+    /// Hash of the head: all parts but the body.
     pub head: u64,
 }
 
-/// What a digest is made of besides the body.
+/// The parts of a request that are hashed in addition to the body.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestHead<'a> {
-    /// HTTP method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// Host that it is for, in lower case.
+    /// The host name in the request, in lower case.
     pub host: &'a str,
-    /// Path and query.
+    /// The path and query.
     pub path: &'a str,
-    /// Who calls, where the request says so.
+    /// The caller's name; empty when the request has none.
     pub caller: &'a str,
 }
 
 impl RequestHead<'_> {
-    /// Hash of the head alone.
+    /// The hash of the head.
     pub fn hash(&self) -> u64 {
         self.hasher().digest()
     }
@@ -41,7 +41,7 @@
     fn hasher(&self) -> Xxh3 {
         let mut hasher = Xxh3::new();
         for part in [self.method, self.host, self.path, self.caller] {
-            // The length keeps two parts from being taken for one.
+            // The length keeps the boundary between two parts unambiguous.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
@@ -50,7 +50,7 @@
 }
 
 impl RequestDigest {
-    /// The digest of a request whose body is known whole.
+    /// The digest of a request with a complete body.
     pub fn of_whole(head: &RequestHead<'_>, body: &[u8]) -> Self {
         let mut hasher = head.hasher();
         let head = hasher.digest();
@@ -58,7 +58,7 @@
         Self { whole: hasher.digest(), head }
     }
 
-    /// The digest of a request whose body is passed on as it comes: all such requests with one head are the same.
+    /// The digest of a request with a streamed body. All such requests with the same head are equal.
     pub fn of_stream(head: &RequestHead<'_>) -> Self {
         Self::of_whole(head, STREAMED_BODY)
     }
--- a/crates/laurelstall_crash/tests/blame_model.rs
+++ b/crates/laurelstall_crash/tests/blame_model.rs
@@ -1,9 +1,8 @@
-//! How often the guilty request is missed and a harmless one is held back, in a model of one service.
+//! A simulation of one service: how soon a request that crashes targets is quarantined, and how often a harmless one
+//! is.
 //!
-//! Four targets of twelve slots get a hundred harmless requests a second that run 120 ms: half of them are asked once
-//! and repeated once by their callers when they are lost, half of them are twenty requests that are asked all the time.
-//! News of an end are known after 50 ms. A target that ended is back after two seconds. Trouble begins after five seconds:
-//! a service that has just started knows no good run yet, and may hold back what is asked often.
+//! Half of the harmless requests are unique and retried once by their callers, the other half are a few frequent ones.
+//! Crashes start after five seconds, because a service that has just started has no successful runs to clear them.
 
 use laurelstall_crash::{
     crash_record::CrashEnd,
@@ -15,11 +14,11 @@
 const TARGETS: usize = 4;
 const SLOTS: usize = 12;
 const HARMLESS_PER_S: f64 = 100.0;
-const OFTEN_ASKED: u64 = 20;
+const FREQUENT_REQUESTS: u64 = 20;
 const RUN_MS: i64 = 120;
 const DEADLY_RUN_MS: i64 = 80;
-const NEWS_MS: i64 = 50;
-const CALM_START_MS: i64 = 5_000;
+const REPORT_DELAY_MS: i64 = 50;
+const FAULTS_START_MS: i64 = 5_000;
 const DOWN_MS: i64 = 2_000;
 const DEADLY: u64 = 1_000_000;
 const SERVICE: &str = "team/service";
@@ -37,26 +36,27 @@
     down_until_ms: i64,
 }
 
-/// What happens to the targets besides harmless requests.
+/// Rates of events that crash targets.
 #[derive(Clone, Copy)]
-struct Trouble {
+struct Faults {
+    /// Arrivals of the request that crashes targets.
     deadly_per_s: f64,
-    /// Ends of single targets by themselves.
-    ends_per_s: f64,
-    /// Ends of three targets at one instant.
-    rack_ends_per_s: f64,
+    /// Crashes of single targets without a request that causes them.
+    crashes_per_s: f64,
+    /// Crashes of three targets at once.
+    rack_crashes_per_s: f64,
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Targets that the deadly request ended.
-    deadly_ends: usize,
-    /// Until it was held back, in ms.
-    held_after_ms: Option<i64>,
-    /// Harmless requests that were held back at some time, the often asked ones apart.
-    rare_held: usize,
-    often_held: usize,
-    /// Harmless requests that were refused since they were held back.
+    /// Number of targets that the deadly request crashed.
+    deadly_crashes: usize,
+    /// Time in ms at which the deadly request was first quarantined.
+    quarantined_after_ms: Option<i64>,
+    /// Number of unique and frequent harmless requests that were quarantined at any time.
+    unique_quarantined: usize,
+    frequent_quarantined: usize,
+    /// Number of harmless requests that were refused because of a quarantine.
     refused: usize,
 }
 
@@ -64,10 +64,10 @@
     rng: SmallRng,
     table: CrashTable,
     targets: Vec<Target>,
-    /// Ends that are not known yet: when they are, their number, and what was at work.
-    news: Vec<(i64, u64, Vec<u64>)>,
-    next: u64,
-    ends: u64,
+    /// Reports in transit: time of arrival, id of the crash, and the running requests.
+    reports: Vec<(i64, u64, Vec<u64>)>,
+    last_unique: u64,
+    crashes: u64,
     outcome: Outcome,
 }
 
@@ -81,34 +81,38 @@
             rng: SmallRng::seed_from_u64(seed),
             table: CrashTable::default(),
             targets: (0..TARGETS).map(|_| Target::default()).collect(),
-            news: Vec::new(),
-            next: OFTEN_ASKED,
-            ends: 0,
+            reports: Vec::new(),
+            last_unique: FREQUENT_REQUESTS,
+            crashes: 0,
             outcome: Outcome::default(),
         }
     }
 
-    fn run(mut self, trouble: Trouble, seconds: i64) -> Outcome {
+    fn run(mut self, faults: Faults, seconds: i64) -> Outcome {
         for now_ms in 0..seconds * 1_000 {
-            self.hear_news(now_ms);
-            self.end_runs(now_ms);
+            self.receive_reports(now_ms);
+            self.finish_runs(now_ms);
             if self.happens(HARMLESS_PER_S) {
-                let is_often = self.rng.random_bool(0.5);
-                let number = if is_often { self.rng.random_range(0..OFTEN_ASKED) } else { self.fresh() };
+                let is_frequent = self.rng.random_bool(0.5);
+                let number = if is_frequent {
+                    self.rng.random_range(0..FREQUENT_REQUESTS)
+                } else {
+                    self.next_unique()
+                };
                 self.arrive(number, false, RUN_MS, now_ms);
             }
-            if now_ms < CALM_START_MS {
+            if now_ms < FAULTS_START_MS {
                 continue;
             }
-            if self.happens(trouble.deadly_per_s) {
+            if self.happens(faults.deadly_per_s) {
                 self.arrive(DEADLY, true, DEADLY_RUN_MS, now_ms);
             }
-            if self.happens(trouble.ends_per_s) {
+            if self.happens(faults.crashes_per_s) {
                 let index = self.rng.random_range(0..TARGETS);
-                self.end_target(index, now_ms);
+                self.crash_target(index, now_ms);
             }
-            if self.happens(trouble.rack_ends_per_s) {
-                self.end_rack(now_ms);
+            if self.happens(faults.rack_crashes_per_s) {
+                self.crash_rack(now_ms);
             }
         }
         self.outcome
@@ -118,39 +122,39 @@
         self.rng.random_bool(per_s / 1_000.0)
     }
 
-    fn fresh(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_unique(&mut self) -> u64 {
+        self.last_unique += 1;
+        self.last_unique
     }
 
-    fn is_held(&self, number: u64, now_ms: i64) -> bool {
+    fn is_quarantined(&self, number: u64, now_ms: i64) -> bool {
         let verdict = self.table.verdict(digest(number), now_ms * 1_000);
         matches!(verdict, Verdict::Held { .. } | Verdict::Trial)
     }
 
     fn arrive(&mut self, number: u64, is_repeat: bool, run_ms: i64, now_ms: i64) {
-        if self.is_held(number, now_ms) {
+        if self.is_quarantined(number, now_ms) {
             self.outcome.refused += usize::from(number != DEADLY);
             return;
         }
-        let standing = |target: &&mut Target| target.down_until_ms <= now_ms && target.runs.len() < SLOTS;
-        let mut standing = self.targets.iter_mut().filter(standing).collect::<Vec<_>>();
-        if standing.is_empty() {
+        let is_available = |target: &&mut Target| target.down_until_ms <= now_ms && target.runs.len() < SLOTS;
+        let mut available = self.targets.iter_mut().filter(is_available).collect::<Vec<_>>();
+        if available.is_empty() {
             return;
         }
-        let index = self.rng.random_range(0..standing.len());
-        standing[index].runs.push(Run { digest: number, until_ms: now_ms + run_ms, is_repeat });
+        let index = self.rng.random_range(0..available.len());
+        available[index].runs.push(Run { digest: number, until_ms: now_ms + run_ms, is_repeat });
     }
 
-    fn end_runs(&mut self, now_ms: i64) {
+    fn finish_runs(&mut self, now_ms: i64) {
         for index in 0..TARGETS {
             let ended =
                 self.targets[index].runs.extract_if(.., |run| run.until_ms <= now_ms).collect::<Vec<_>>();
             for run in ended {
                 if run.digest == DEADLY {
                     self.targets[index].runs.push(run);
-                    self.end_target(index, now_ms);
-                    self.outcome.deadly_ends += 1;
+                    self.crash_target(index, now_ms);
+                    self.outcome.deadly_crashes += 1;
                     break;
                 }
                 self.table.note_good(digest(run.digest), now_ms * 1_000);
@@ -158,32 +162,36 @@
         }
     }
 
-    fn end_target(&mut self, index: usize, now_ms: i64) {
+    fn crash_target(&mut self, index: usize, now_ms: i64) {
         if self.targets[index].down_until_ms > now_ms {
             return;
         }
-        let lost = self.take_target_down(index, now_ms);
+        let lost = self.take_down(index, now_ms);
         self.repeat(lost, now_ms);
     }
 
-    /// Three targets end at one instant, and then what they ran is repeated.
-    fn end_rack(&mut self, now_ms: i64) {
-        let standing = |target: &Target| target.down_until_ms <= now_ms;
-        let ended = (0..3).filter(|index| standing(&self.targets[*index])).collect::<Vec<_>>();
+    /// Crashes three targets at once and then retries the requests that they ran.
+    fn crash_rack(&mut self, now_ms: i64) {
+        let is_up = |target: &Target| target.down_until_ms <= now_ms;
+        let crashed = (0..3).filter(|index| is_up(&self.targets[*index])).collect::<Vec<_>>();
         let mut lost = Vec::new();
-        for index in ended {
-            lost.extend(self.take_target_down(index, now_ms));
+        for index in crashed {
+            lost.extend(self.take_down(index, now_ms));
         }
         self.repeat(lost, now_ms);
     }
 
-    /// What was at work at a target that ends.
-    fn take_target_down(&mut self, index: usize, now_ms: i64) -> Vec<Run> {
+    /// Crashes a target and returns the runs that are lost.
+    fn take_down(&mut self, index: usize, now_ms: i64) -> Vec<Run> {
         let target = &mut self.targets[index];
         target.down_until_ms = now_ms + DOWN_MS;
         let runs = std::mem::take(&mut target.runs);
-        self.ends += 1;
-        self.news.push((now_ms + NEWS_MS, self.ends, runs.iter().map(|run| run.digest).collect()));
+        self.crashes += 1;
+        self.reports.push((
+            now_ms + REPORT_DELAY_MS,
+            self.crashes,
+            runs.iter().map(|run| run.digest).collect(),
+        ));
         runs
     }
 
@@ -193,68 +201,71 @@
         }
     }
 
-    fn hear_news(&mut self, now_ms: i64) {
-        let heard = self.news.extract_if(.., |(at_ms, ..)| *at_ms <= now_ms).collect::<Vec<_>>();
-        for (_, id, numbers) in heard {
-            let before = numbers.iter().map(|number| self.is_held(*number, now_ms)).collect::<Vec<_>>();
+    fn receive_reports(&mut self, now_ms: i64) {
+        let received = self.reports.extract_if(.., |(at_ms, ..)| *at_ms <= now_ms).collect::<Vec<_>>();
+        for (_, id, numbers) in received {
+            let before =
+                numbers.iter().map(|number| self.is_quarantined(*number, now_ms)).collect::<Vec<_>>();
             let digests = numbers.iter().map(|number| digest(*number)).collect::<Vec<_>>();
-            let end = CrashEnd { id, at_us: (now_ms - NEWS_MS) * 1_000 };
-            self.table.note_end(end, SERVICE, &digests, now_ms * 1_000);
-            for (number, was_held) in numbers.iter().zip(before) {
-                if !was_held && self.is_held(*number, now_ms) {
-                    self.note_held(*number, now_ms);
+            let crash = CrashEnd { id, at_us: (now_ms - REPORT_DELAY_MS) * 1_000 };
+            self.table.note_end(crash, SERVICE, &digests, now_ms * 1_000);
+            for (number, was_quarantined) in numbers.iter().zip(before) {
+                if !was_quarantined && self.is_quarantined(*number, now_ms) {
+                    self.note_quarantined(*number, now_ms);
                 }
             }
         }
     }
 
-    fn note_held(&mut self, number: u64, now_ms: i64) {
+    fn note_quarantined(&mut self, number: u64, now_ms: i64) {
         match number {
-            DEADLY => self.outcome.held_after_ms = self.outcome.held_after_ms.or(Some(now_ms)),
-            number if number < OFTEN_ASKED => self.outcome.often_held += 1,
-            _ => self.outcome.rare_held += 1,
+            DEADLY => self.outcome.quarantined_after_ms = self.outcome.quarantined_after_ms.or(Some(now_ms)),
+            number if number < FREQUENT_REQUESTS => self.outcome.frequent_quarantined += 1,
+            _ => self.outcome.unique_quarantined += 1,
         }
     }
 }
 
-/// Plays `days` of `seconds` each; their outcomes.
-fn play(days: u64, seconds: i64, trouble: Trouble) -> Vec<Outcome> {
-    (0..days).map(|seed| Model::new(seed).run(trouble, seconds)).collect()
+/// Makes `runs` simulations of `seconds` each.
+fn simulate(runs: u64, seconds: i64, faults: Faults) -> Vec<Outcome> {
+    (0..runs).map(|seed| Model::new(seed).run(faults, seconds)).collect()
 }
 
 fn mean(outcomes: &[Outcome], figure: impl Fn(&Outcome) -> usize) -> f64 {
     outcomes.iter().map(figure).sum::<usize>() as f64 / outcomes.len() as f64
 }
 
-const CALM: Trouble = Trouble { deadly_per_s: 0.0, ends_per_s: 0.0, rack_ends_per_s: 0.0 };
+const NO_FAULTS: Faults = Faults { deadly_per_s: 0.0, crashes_per_s: 0.0, rack_crashes_per_s: 0.0 };
 
 #[test]
-fn a_request_that_ends_targets_is_never_missed() {
+fn a_request_that_crashes_targets_is_always_quarantined() {
     for deadly_per_s in [0.5, 5.0, 20.0] {
-        let outcomes = play(100, 30, Trouble { deadly_per_s, ..CALM });
-        let ends = mean(&outcomes, |outcome| outcome.deadly_ends);
-        let most = outcomes.iter().map(|outcome| outcome.deadly_ends).max();
-        let rare = mean(&outcomes, |outcome| outcome.rare_held);
-        let often = mean(&outcomes, |outcome| outcome.often_held);
+        let outcomes = simulate(100, 30, Faults { deadly_per_s, ..NO_FAULTS });
+        let crashes = mean(&outcomes, |outcome| outcome.deadly_crashes);
+        let most = outcomes.iter().map(|outcome| outcome.deadly_crashes).max();
+        let unique = mean(&outcomes, |outcome| outcome.unique_quarantined);
+        let frequent = mean(&outcomes, |outcome| outcome.frequent_quarantined);
         let refused = mean(&outcomes, |outcome| outcome.refused);
         println!(
-            "{deadly_per_s}/s: ends {ends:.2} most {most:?} held rare {rare:.2} often {often:.2} refused {refused:.2}"
+            "{deadly_per_s}/s: crashes {crashes:.2}, most {most:?}, quarantined unique {unique:.2} frequent {frequent:.2}, \
+             refused {refused:.2}"
         );
-        assert!(outcomes.iter().all(|outcome| outcome.held_after_ms.is_some()));
-        assert!(ends < 4.1, "{ends} targets for each request that ends them");
-        assert!(often < 0.1 && refused < 1.0, "{often} {refused}");
+        assert!(outcomes.iter().all(|outcome| outcome.quarantined_after_ms.is_some()));
+        assert!(crashes < 4.1, "{crashes} crashes until the request was quarantined");
+        assert!(frequent < 0.1 && refused < 1.0, "{frequent} quarantined, {refused} refused");
     }
 }
 
 #[test]
-fn targets_that_end_by_themselves_have_hardly_any_request_held_back() {
-    for (ends_per_s, rack_ends_per_s) in [(0.1, 0.0), (0.0, 0.05), (0.5, 0.1)] {
-        let outcomes = play(20, 200, Trouble { ends_per_s, rack_ends_per_s, ..CALM });
-        let rare = mean(&outcomes, |outcome| outcome.rare_held);
-        let often = mean(&outcomes, |outcome| outcome.often_held);
+fn crashes_without_a_cause_in_a_request_cause_hardly_any_quarantine() {
+    for (crashes_per_s, rack_crashes_per_s) in [(0.1, 0.0), (0.0, 0.05), (0.5, 0.1)] {
+        let outcomes = simulate(20, 200, Faults { crashes_per_s, rack_crashes_per_s, ..NO_FAULTS });
+        let unique = mean(&outcomes, |outcome| outcome.unique_quarantined);
+        let frequent = mean(&outcomes, |outcome| outcome.frequent_quarantined);
         let refused = mean(&outcomes, |outcome| outcome.refused);
         println!(
-            "ends {ends_per_s}/s, racks {rack_ends_per_s}/s: held rare {rare:.2} often {often:.2} refused {refused:.2}"
+            "crashes {crashes_per_s}/s, racks {rack_crashes_per_s}/s: quarantined unique {unique:.2} frequent {frequent:.2}, \
+             refused {refused:.2}"
         );
         assert!(refused < 1.0, "{refused} of 20,000 requests refused");
     }
--- a/crates/laurelstall_crash/tests/run_watch.rs
+++ b/crates/laurelstall_crash/tests/run_watch.rs
@@ -1,4 +1,4 @@
-//! Which requests are told to have been at work when a target ended.
+//! Which requests are reported to have been running when a target crashed.
 
 use laurelstall_crash::{
     request_digest::{RequestDigest, RequestHead},
@@ -10,59 +10,59 @@
 }
 
 #[test]
-fn all_that_had_begun_when_the_first_connection_broke_were_at_work() {
-    let mut watch = RunWatch::default();
-    let broken = watch.start(digest(1), 100);
-    watch.start(digest(2), 200);
-    let answered = watch.start(digest(3), 300);
-    watch.note_answered(answered);
-    watch.note_broken(broken, 1_000);
-    watch.start(digest(4), 1_000);
-    let ended = watch.note_ended(1_000);
+fn a_crash_reports_all_runs_that_started_before_the_first_broken_connection() {
+    let mut tracker = RunWatch::default();
+    let broken = tracker.start(digest(1), 100);
+    tracker.start(digest(2), 200);
+    let answered = tracker.start(digest(3), 300);
+    tracker.note_answered(answered);
+    tracker.note_broken(broken, 1_000);
+    tracker.start(digest(4), 1_000);
+    let ended = tracker.note_ended(1_000);
     assert!(ended.is_first);
     assert_eq!(ended.end, 1);
     assert_eq!(ended.digests, vec![digest(2), digest(1)]);
-    assert_eq!(watch.len(), 1, "what began later is not at work there");
+    assert_eq!(tracker.len(), 1, "a later run is not part of the crash");
 }
 
 #[test]
-fn a_second_word_of_an_end_has_its_number_until_the_target_is_seen_alive() {
-    let mut watch = RunWatch::default();
-    watch.start(digest(1), 1);
-    assert_eq!(watch.note_ended(10).end, 1);
-    let late = watch.start(digest(2), 20);
-    watch.note_broken(late, 25);
-    let again = watch.note_ended(15);
+fn reports_belong_to_the_same_crash_until_the_target_is_seen_alive() {
+    let mut tracker = RunWatch::default();
+    tracker.start(digest(1), 1);
+    assert_eq!(tracker.note_ended(10).end, 1);
+    let late = tracker.start(digest(2), 20);
+    tracker.note_broken(late, 25);
+    let again = tracker.note_ended(15);
     assert_eq!((again.end, again.is_first), (1, false));
     assert_eq!(again.digests, vec![digest(2)]);
-    let served = watch.start(digest(3), 30);
-    watch.note_answered(served);
-    watch.start(digest(1), 40);
-    assert_eq!(watch.note_ended(50).end, 2);
+    let served = tracker.start(digest(3), 30);
+    tracker.note_answered(served);
+    tracker.start(digest(1), 40);
+    assert_eq!(tracker.note_ended(50).end, 2);
 }
 
 #[test]
-fn a_run_that_was_given_up_counts_for_half_a_second() {
-    let mut watch = RunWatch::default();
-    let run = watch.start(digest(1), 0);
-    watch.note_given_up(run, 100_000);
-    let other = watch.start(digest(2), 0);
-    watch.note_given_up(other, 900_000);
-    assert_eq!(watch.note_ended(1_000_000).digests, vec![digest(2)]);
+fn an_abandoned_run_counts_for_half_a_second() {
+    let mut tracker = RunWatch::default();
+    let run = tracker.start(digest(1), 0);
+    tracker.note_given_up(run, 100_000);
+    let other = tracker.start(digest(2), 0);
+    tracker.note_given_up(other, 900_000);
+    assert_eq!(tracker.note_ended(1_000_000).digests, vec![digest(2)]);
 }
 
 #[test]
-fn connections_that_break_beside_a_living_target_say_nothing() {
-    let mut watch = RunWatch::default();
-    let broken = watch.start(digest(1), 0);
-    watch.start(digest(2), 0);
-    watch.note_broken(broken, 5);
-    watch.note_survived();
-    assert_eq!(watch.note_ended(10).digests, vec![digest(2)]);
+fn broken_connections_to_a_live_target_do_not_count() {
+    let mut tracker = RunWatch::default();
+    let broken = tracker.start(digest(1), 0);
+    tracker.start(digest(2), 0);
+    tracker.note_broken(broken, 5);
+    tracker.note_survived();
+    assert_eq!(tracker.note_ended(10).digests, vec![digest(2)]);
 }
 
 #[test]
-fn a_digest_tells_path_caller_and_body_apart_and_nothing_else() {
+fn a_digest_depends_on_all_parts_of_the_head_and_on_the_body() {
     let head = RequestHead { method: "GET", host: "a.example", path: "/x?y=1", caller: "c" };
     let one = RequestDigest::of_whole(&head, b"body");
     assert_eq!(one, RequestDigest::of_whole(&head, b"body"));
@@ -81,26 +81,26 @@
 }
 
 #[test]
-fn what_was_lost_while_nobody_could_tell_counts_when_the_target_proves_to_have_ended() {
-    let mut watch = RunWatch::default();
-    let lost = watch.start(digest(1), 0);
-    watch.note_broken(lost, 500);
-    watch.note_unclear(1_000);
-    assert!(watch.has_lost_runs(100_000));
-    assert_eq!(watch.note_ended(100_000).digests, vec![digest(1)]);
-    let lost = watch.start(digest(2), 200_000);
-    watch.note_broken(lost, 290_000);
-    watch.note_unclear(300_000);
-    assert!(!watch.has_lost_runs(900_000), "too long ago");
-    assert!(watch.note_ended(900_000).digests.is_empty());
+fn runs_of_an_unknown_result_count_for_a_crash_that_is_detected_shortly_after() {
+    let mut tracker = RunWatch::default();
+    let lost = tracker.start(digest(1), 0);
+    tracker.note_broken(lost, 500);
+    tracker.note_unclear(1_000);
+    assert!(tracker.has_lost_runs(100_000));
+    assert_eq!(tracker.note_ended(100_000).digests, vec![digest(1)]);
+    let lost = tracker.start(digest(2), 200_000);
+    tracker.note_broken(lost, 290_000);
+    tracker.note_unclear(300_000);
+    assert!(!tracker.has_lost_runs(900_000), "the run was lost too long ago");
+    assert!(tracker.note_ended(900_000).digests.is_empty());
 }
 
 #[test]
-fn a_broken_run_whose_look_nobody_waited_for_is_forgotten() {
-    let mut watch = RunWatch::default();
-    let broken = watch.start(digest(1), 0);
-    watch.note_broken(broken, 1_000);
-    watch.start(digest(2), 2_000_000);
-    assert_eq!(watch.len(), 1);
-    assert_eq!(watch.note_ended(3_000_000).digests, vec![digest(2)]);
+fn a_broken_run_without_a_check_of_its_target_expires() {
+    let mut tracker = RunWatch::default();
+    let broken = tracker.start(digest(1), 0);
+    tracker.note_broken(broken, 1_000);
+    tracker.start(digest(2), 2_000_000);
+    assert_eq!(tracker.len(), 1);
+    assert_eq!(tracker.note_ended(3_000_000).digests, vec![digest(2)]);
 }
--- a/crates/laurelstall_workspace/examples/quota_ways.rs
+++ b/crates/laurelstall_workspace/examples/quota_ways.rs
@@ -1,5 +1,5 @@
-//! Ways to count a quota over many nodes, played against each other: what is refused below the quota, by how much it is
-//! exceeded, what it costs in messages, and what happens when a node that counts is lost.
+//! Compares algorithms that enforce a quota over many nodes: refused calls below the quota, overrun, messages and
+//! waits, also when an owner of quota shares is lost.
 
 use laurelstall_config::{
     fleet::{Fleet, Host, HostState},
@@ -20,23 +20,23 @@
 const BOUNDS: QuotaBounds = QuotaBounds { window_s: 5.0, overrun: 0.25, slack: 20.0 };
 const WORKSPACES: usize = 10;
 const DATA_CENTRES: usize = 3;
-/// Usage of a workspace that stays below its quota, as a share of it.
-const USUAL: f64 = 0.62;
-/// Usage of the hot one.
+/// Call rate of a workspace below its quota, as a fraction of the quota.
+const NORMAL: f64 = 0.62;
+/// Call rate of a workspace far above its quota.
 const HOT: f64 = 5.0;
 const BEGIN_US: u64 = 1_000_000;
 const STEP_US: u64 = 5_000;
 const STEPS: u64 = 6_000;
-/// When the node that owns the most shares is lost, and when the list says so.
+/// When an owner is lost, and when it is removed from the list of hosts.
 const LOST_US: u64 = BEGIN_US + 12_000_000;
-const LISTED_LOST_US: u64 = LOST_US + 4_500_000;
-/// The way to another node and back, and how long a lost one is waited for.
-const TRIP_US: u64 = 2_000;
-const PATIENCE_US: u64 = 60_000;
-/// Age of the counts that travel with exchanges.
+const REMOVED_US: u64 = LOST_US + 4_500_000;
+/// Round trip to another node, and timeout of a request to a lost one.
+const ROUND_TRIP_US: u64 = 2_000;
+const TIMEOUT_US: u64 = 60_000;
+/// Age of the call counts that nodes exchange.
 const COUNTS_AGE_US: u64 = 1_000_000;
 
-/// Where and how much a workspace calls.
+/// Distribution and rate of the calls of the workspaces.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Usage {
     Steady,
@@ -45,39 +45,39 @@
     Moving,
 }
 
-/// How calls are counted.
+/// How the quota is enforced.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
-    /// One owner gives out all tokens.
+enum Algorithm {
+    /// One owner grants all tokens.
     OneOwner,
-    /// Three owners give out a third each.
+    /// Three owners grant a third of the tokens each.
     Shares,
-    /// Each node goes by the counts of all, which are a second old.
+    /// Each node uses the counts of all nodes, which are a second old.
     Counts,
-    /// Each node has an equal part.
+    /// Each node has an equal part of the quota.
     EqualParts,
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Algorithm {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Debug::fmt(self, f)
     }
 }
 
-/// What a run showed.
+/// The results of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     calls: u64,
     refused_below: u64,
     messages: u64,
     waits_us: Vec<u64>,
-    /// Times of calls that were taken, for each workspace.
-    taken_us: Vec<VecDeque<u64>>,
-    greatest_over: f64,
+    /// Times of admitted calls by workspace.
+    admitted_us: Vec<VecDeque<u64>>,
+    largest_overrun: f64,
 }
 
-struct Run {
-    way: Way,
+struct Simulation {
+    algorithm: Algorithm,
     nodes: usize,
     fleet: Arc<Fleet>,
     lost: usize,
@@ -98,8 +98,8 @@
     Arc::new(Fleet { hosts: hosts.collect(), ..Fleet::default() })
 }
 
-impl Run {
-    fn new(way: Way, nodes: usize) -> Self {
+impl Simulation {
+    fn new(algorithm: Algorithm, nodes: usize) -> Self {
         let fleet = fleet(nodes, None);
         let lost = laurelstall_workspace::share_owners::owner_of(&fleet, "main/w-0", 0);
         let lost = lost.and_then(|host| host.name.strip_prefix("host-")?.parse().ok()).unwrap_or(0);
@@ -115,20 +115,20 @@
             BEGIN_US,
         );
         Self {
-            way,
+            algorithm,
             nodes,
             lost,
             owned: owned.collect(),
             orders: (0..nodes).map(|_| (0..WORKSPACES).map(|_| ShareOrder::default()).collect()).collect(),
             parts: vec![vec![part; WORKSPACES]; nodes],
             fleet,
-            outcome: Outcome { taken_us: vec![VecDeque::new(); WORKSPACES], ..Outcome::default() },
+            outcome: Outcome { admitted_us: vec![VecDeque::new(); WORKSPACES], ..Outcome::default() },
         }
     }
 
     fn split(&self) -> QuotaSplit {
         let split = QuotaSplit::new(&QUOTA, &BOUNDS);
-        if self.way != Way::OneOwner {
+        if self.algorithm != Algorithm::OneOwner {
             return split;
         }
         let parts = f64::from(split.shares);
@@ -144,12 +144,12 @@
         node == self.lost && now_us >= LOST_US
     }
 
-    /// Whether a call may be made, and how long that took to find out.
-    fn take(&mut self, node: usize, workspace: usize, now_us: u64) -> (bool, u64) {
-        match self.way {
-            Way::OneOwner | Way::Shares => self.take_token(node, workspace, now_us),
-            Way::Counts => (self.counted(workspace, now_us), 0),
-            Way::EqualParts => (self.parts[node][workspace].take(1, now_us) > 0, 0),
+    /// Returns whether a call is admitted, and how long the decision took in µs.
+    fn admit(&mut self, node: usize, workspace: usize, now_us: u64) -> (bool, u64) {
+        match self.algorithm {
+            Algorithm::OneOwner | Algorithm::Shares => self.take_token(node, workspace, now_us),
+            Algorithm::Counts => (self.is_below_quota(workspace, now_us), 0),
+            Algorithm::EqualParts => (self.parts[node][workspace].take(1, now_us) > 0, 0),
         }
     }
 
@@ -166,11 +166,11 @@
             let is_own = owner == node;
             self.outcome.messages += if is_own { 0 } else { 2 };
             if owner == self.lost && now_us >= LOST_US {
-                waited_us += PATIENCE_US;
+                waited_us += TIMEOUT_US;
                 order.note_unreached(state.share, now_us);
                 continue;
             }
-            waited_us += if is_own { 0 } else { TRIP_US };
+            waited_us += if is_own { 0 } else { ROUND_TRIP_US };
             let key = ShareKey { workspace: name.clone(), share: state.share };
             match self.owned[owner].take(&key, &split, 1, now_us) {
                 Some(grant) if grant.tokens > 0 => return (true, waited_us),
@@ -181,40 +181,41 @@
         (false, waited_us)
     }
 
-    /// Whether the workspace was below its quota a second ago, as far as the counts say.
-    fn counted(&self, workspace: usize, now_us: u64) -> bool {
+    /// Whether the workspace was below its quota a second ago.
+    fn is_below_quota(&self, workspace: usize, now_us: u64) -> bool {
         let known_us = now_us - COUNTS_AGE_US.min(now_us);
         let window_us = (BOUNDS.window_s * 1e6) as u64;
         let from_us = known_us.saturating_sub(window_us);
-        let known = self.outcome.taken_us[workspace].iter().filter(|us| **us <= known_us && **us > from_us);
+        let known =
+            self.outcome.admitted_us[workspace].iter().filter(|us| **us <= known_us && **us > from_us);
         (known.count() as f64) < QUOTA.calls_per_s * BOUNDS.window_s + QUOTA.burst
     }
 
-    fn note_taken(&mut self, workspace: usize, now_us: u64) {
+    fn note_admitted(&mut self, workspace: usize, now_us: u64) {
         let window_us = (BOUNDS.window_s * 1e6) as u64;
-        let taken = &mut self.outcome.taken_us[workspace];
-        taken.push_back(now_us);
-        // The counts look back over a window before they travel.
-        while taken.front().is_some_and(|us| us + window_us + COUNTS_AGE_US <= now_us) {
-            taken.pop_front();
+        let admitted = &mut self.outcome.admitted_us[workspace];
+        admitted.push_back(now_us);
+        // The counts cover a window before their own age.
+        while admitted.front().is_some_and(|us| us + window_us + COUNTS_AGE_US <= now_us) {
+            admitted.pop_front();
         }
-        let in_window = taken.iter().filter(|us| **us + window_us > now_us).count() as f64;
-        let bound =
+        let in_window = admitted.iter().filter(|us| **us + window_us > now_us).count() as f64;
+        let limit =
             (QUOTA.calls_per_s * BOUNDS.window_s + QUOTA.burst) * (1.0 + BOUNDS.overrun) + BOUNDS.slack;
-        self.outcome.greatest_over = self.outcome.greatest_over.max(in_window - bound);
+        self.outcome.largest_overrun = self.outcome.largest_overrun.max(in_window - limit);
     }
 
-    fn play(mut self, usage: Usage) -> Outcome {
+    fn run(mut self, usage: Usage) -> Outcome {
         let mut rng = SmallRng::seed_from_u64(7);
         for step in 0..STEPS {
             let now_us = BEGIN_US + step * STEP_US;
-            if now_us == LISTED_LOST_US {
+            if now_us == REMOVED_US {
                 self.fleet = fleet(self.nodes, Some(self.lost));
                 self.owned.iter_mut().for_each(|owned| owned.set_fleet(&self.fleet, now_us));
             }
             for workspace in 0..WORKSPACES {
                 let is_hot = usage == Usage::Hot && workspace == 0;
-                let per_s = QUOTA.calls_per_s * if is_hot { HOT } else { USUAL };
+                let per_s = QUOTA.calls_per_s * if is_hot { HOT } else { NORMAL };
                 if !rng.random_bool(per_s * STEP_US as f64 / 1e6) {
                     continue;
                 }
@@ -223,10 +224,10 @@
                     continue;
                 }
                 self.outcome.calls += 1;
-                let (is_taken, waited_us) = self.take(node, workspace, now_us);
+                let (is_admitted, waited_us) = self.admit(node, workspace, now_us);
                 self.outcome.waits_us.push(waited_us);
-                if is_taken {
-                    self.note_taken(workspace, now_us);
+                if is_admitted {
+                    self.note_admitted(workspace, now_us);
                 } else if !is_hot {
                     self.outcome.refused_below += 1;
                 }
@@ -250,23 +251,25 @@
 fn main() {
     println!(
         "{:>5} {:>13} {:>10}  over  refused below  messages/s  wait p50  p99 ms",
-        "nodes", "usage", "way"
+        "nodes", "usage", "algorithm"
     );
     for nodes in SIZES {
         for usage in [Usage::Steady, Usage::Hot, Usage::OneDataCentre, Usage::Moving] {
-            for way in [Way::OneOwner, Way::Shares, Way::Counts, Way::EqualParts] {
-                let mut outcome = Run::new(way, nodes).play(usage);
+            for algorithm in
+                [Algorithm::OneOwner, Algorithm::Shares, Algorithm::Counts, Algorithm::EqualParts]
+            {
+                let mut outcome = Simulation::new(algorithm, nodes).run(usage);
                 outcome.waits_us.sort_unstable();
                 let wait = |share: f64| {
-                    let place = (outcome.waits_us.len() as f64 * share) as usize;
-                    outcome.waits_us.get(place).copied().unwrap_or(0) as f64 / 1e3
+                    let index = (outcome.waits_us.len() as f64 * share) as usize;
+                    outcome.waits_us.get(index).copied().unwrap_or(0) as f64 / 1e3
                 };
                 let seconds = (STEPS * STEP_US) as f64 / 1e6;
                 println!(
                     "{nodes:>5} {:>13} {:>10} {:>5.0} {:>14.4} {:>11.0} {:>9.1} {:>7.1}",
                     format!("{usage:?}"),
-                    way.to_string(),
-                    outcome.greatest_over,
+                    algorithm.to_string(),
+                    outcome.largest_overrun,
                     outcome.refused_below as f64 / outcome.calls as f64,
                     outcome.messages as f64 / seconds,
                     wait(0.5),
--- a/crates/laurelstall_workspace/src/key_directory.rs
+++ b/crates/laurelstall_workspace/src/key_directory.rs
@@ -1,24 +1,24 @@
-//! From a caller's key to its workspace.
+//! Looks up the workspace of a caller's key.
 
 use laurelstall_config::{key_digest::KeyDigest, team::Team, workspace::Workspace};
 use std::{collections::HashMap, sync::Arc};
 
-/// What a team says of a call by the key that it brings.
+/// The result of the lookup of a call's key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyVerdict {
-    /// The call is of this workspace.
+    /// The key belongs to this workspace.
     Of(Arc<Workspace>),
-    /// The call may be taken, and is of no workspace.
+    /// The call is allowed without a workspace.
     OfNone,
-    /// The call brings no key, and needs one.
+    /// The call needs a key and has none.
     Missing,
-    /// No workspace has this key.
+    /// The key belongs to no workspace.
     Unknown,
 }
 
 /// A team's workspaces by the digests of their keys.
 ///
-/// A look-up hashes the key once, whatever it is, so its time tells nothing of the keys that are known.
+/// A lookup hashes the key before it compares anything, so its duration reveals nothing about valid keys.
 #[derive(Debug, Default)]
 pub struct KeyDirectory {
     needs_keys: bool,
@@ -28,28 +28,28 @@
 }
 
 impl KeyDirectory {
-    /// The workspaces of a team.
+    /// Creates the directory of a team's workspaces.
     pub fn new(team: &Team) -> Self {
         let mut directory = Self { needs_keys: team.needs_keys, ..Self::default() };
         for (index, workspace) in team.workspaces.iter().enumerate() {
             let index = index as u32;
             directory.by_key.extend(workspace.keys.iter().map(|key| (*key, index)));
             directory.by_name.insert(workspace.name.clone(), index);
-            // The keys themselves are only looked up by digest.
+            // Keys are only looked up by digest, so the workspaces need no copy of them.
             let workspace = Workspace { keys: Vec::new(), ..workspace.clone() };
             directory.workspaces.push(Arc::new(workspace));
         }
         directory
     }
 
-    /// Whether keys mean anything to this team.
+    /// Whether this team needs keys or has workspaces.
     pub fn knows_keys(&self) -> bool {
         self.needs_keys || !self.workspaces.is_empty()
     }
 
-    /// What is to be done with a call that brings `key`, on a route that `is_public` or not.
+    /// Looks up the workspace of a call with `key`, on a route that `is_public` or not.
     ///
-    /// On a public route a key may be brought all the same; one that nobody has is as good as none there.
+    /// A key is optional on a public route, and an unknown one is ignored there.
     pub fn judge(&self, key: Option<&[u8]>, is_public: bool) -> KeyVerdict {
         let found = key.and_then(|key| self.find(key));
         match (found, key) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The workspace of this name.
+    /// The workspace with this name.
     pub fn named(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.workspaces.get(*self.by_name.get(name)? as usize)
     }
@@ -70,7 +70,7 @@
         &self.workspaces
     }
 
-    /// Keys of all workspaces together.
+    /// The number of keys of all workspaces together.
     pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
--- a/crates/laurelstall_workspace/src/lib.rs
+++ b/crates/laurelstall_workspace/src/lib.rs
@@ -1,11 +1,11 @@
-//! Whose calls are taken, and how many: keys and quotas of workspaces.
+//! Keys and quotas of workspaces.
 //!
-//! A caller's key names its workspace. A quota is counted over all nodes together: it is cut into a few shares, each
-//! share has one owner among the nodes, and a node asks an owner for a token before it takes a call. No owner is
-//! elected: each node finds it by hashing over the list of hosts, and an owner stops by itself where two might be one
-//! too many (`docs/design/quotas.md`).
+//! A caller's key identifies its workspace. A quota limits the call rate of a workspace over all nodes together: it is
+//! split into a few shares, each share has one owner among the nodes, and a node requests a token from an owner before
+//! it admits a call. Owners are not elected: each node finds them by rendezvous hashing over the list of hosts, and a
+//! node stops granting tokens when another one may own the share (`docs/design/quotas.md`).
 //!
-//! Nothing in this crate reads a clock, a socket or a random number: whoever uses it says what happened and when.
+//! Nothing in this crate reads a clock, a socket or a random number; users pass in events and times.
 
 pub mod key_directory;
 pub mod owned_shares;
@@ -14,7 +14,7 @@
 pub mod share_owners;
 pub mod token_bucket;
 
-/// The types most callers need.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::{
         key_directory::{KeyDirectory, KeyVerdict},
--- a/crates/laurelstall_workspace/src/share_order.rs
+++ b/crates/laurelstall_workspace/src/share_order.rs
@@ -1,43 +1,44 @@
-//! Whom a node asks for tokens of a workspace, and in which order.
+//! The owners of a workspace's quota shares, in the order in which a node requests tokens from them.
 
 use crate::share_owners::owner_of;
 use laurelstall_config::fleet::Fleet;
 use std::{net::SocketAddr, sync::Arc};
 
-/// How long an owner that did not answer is passed over, in µs: about as long as a lost node takes to be back, or to be
-/// taken off the list.
+/// Time in µs for which an owner that did not answer is skipped: about as long as a lost node takes to restart or to
+/// be removed from the list of hosts.
 const UNREACHED_PAUSE_US: u64 = 1_000_000;
-/// Longest time for which a share is taken to be empty without asking again, in µs: other callers give tokens back.
+/// Longest time in µs for which a share counts as empty without a new request, because other calls may return tokens.
 const EMPTY_PAUSE_MAX_US: u64 = 100_000;
 
-/// The owner of a share, as a node that asks sees it.
+/// The owner of a share, as seen by a node that requests tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareState {
-    /// Which share, from 0.
+    /// Index of the share, from 0.
     pub share: u8,
-    /// Name of the host.
+    /// Name of the owner's host.
     pub host: String,
-    /// Where its node listens.
+    /// Address of the owner's node.
     pub address: SocketAddr,
-    is_near: bool,
-    /// When the share has a token again, in µs; 0 when it may have one now.
+    is_local: bool,
+    /// Time in µs at which the share has a token again; 0 when it may have one now.
     empty_until_us: u64,
-    /// Until when its owner is passed over, in µs.
-    unreached_until_us: u64,
+    /// Time in µs until which the owner is skipped, because it did not answer.
+    unreachable_until_us: u64,
 }
 
-/// The owners of a workspace's shares, near ones first.
+/// The owners of a workspace's quota shares.
 #[derive(Debug, Default)]
 pub struct ShareOrder {
     fleet: Arc<Fleet>,
-    /// Into how many shares the quota is cut.
+    /// Number of shares of the quota.
     count: u8,
     shares: Vec<ShareState>,
+    /// Counter for the rotation of the owners.
     turn: usize,
 }
 
 impl ShareOrder {
-    /// Puts the list of hosts in force; what is known of owners that stay is kept.
+    /// Sets the current list of hosts and keeps the state of owners that stay.
     pub fn set_fleet(&mut self, fleet: &Arc<Fleet>, workspace: &str, count: u8, data_centre: &str) {
         if Arc::ptr_eq(fleet, &self.fleet) && self.count == count {
             return;
@@ -49,9 +50,9 @@
                 share,
                 host: host.name.clone(),
                 address: host.node_address,
-                is_near: host.data_centre == data_centre,
+                is_local: host.data_centre == data_centre,
                 empty_until_us: 0,
-                unreached_until_us: 0,
+                unreachable_until_us: 0,
             })
         });
         self.shares = states.collect();
@@ -59,39 +60,40 @@
         self.count = count;
     }
 
-    /// The owners to ask now, in this order: near ones first, each group in turn. Those that did not answer lately are
-    /// asked only when no other is left: each of them costs the call a wait.
+    /// The owners to request tokens from, in this order: those in the local data centre first, rotated within each
+    /// group. Owners that did not answer recently are included only when no other is left, because each of them may
+    /// cost the call a timeout.
     pub fn to_ask(&mut self, now_us: u64) -> Vec<ShareState> {
         self.turn = self.turn.wrapping_add(1);
-        let is_reached = |state: &ShareState| state.unreached_until_us <= now_us;
-        let has_reached = self.shares.iter().any(is_reached);
-        let mut listed = self.shares.clone();
-        listed.retain(|state| state.empty_until_us <= now_us && (!has_reached || is_reached(state)));
-        if !listed.is_empty() {
-            let turn = self.turn % listed.len();
-            listed.rotate_left(turn);
+        let is_reachable = |state: &ShareState| state.unreachable_until_us <= now_us;
+        let any_reachable = self.shares.iter().any(is_reachable);
+        let mut owners = self.shares.clone();
+        owners.retain(|state| state.empty_until_us <= now_us && (!any_reachable || is_reachable(state)));
+        if !owners.is_empty() {
+            let turn = self.turn % owners.len();
+            owners.rotate_left(turn);
         }
-        listed.sort_by_key(|state| !state.is_near);
-        listed
+        owners.sort_by_key(|state| !state.is_local);
+        owners
     }
 
-    /// When the first share that is empty has a token again, in µs from now; none when none is known to be empty.
+    /// Time in µs until the first empty share has a token again; `None` when no share is known to be empty.
     pub fn empty_for_us(&self, now_us: u64) -> Option<u64> {
         let empty = self.shares.iter().filter(|state| state.empty_until_us > now_us);
         empty.map(|state| state.empty_until_us - now_us).min()
     }
 
-    /// Notes that a share has no token for so long.
+    /// Records that a share has no token for `wait_us`.
     pub fn note_empty(&mut self, share: u8, wait_us: u64, now_us: u64) {
         if let Some(state) = self.state(share) {
             state.empty_until_us = now_us + wait_us.min(EMPTY_PAUSE_MAX_US);
         }
     }
 
-    /// Notes that an owner did not answer, or gives out nothing.
+    /// Records that the owner of a share did not answer, or may not grant tokens.
     pub fn note_unreached(&mut self, share: u8, now_us: u64) {
         if let Some(state) = self.state(share) {
-            state.unreached_until_us = now_us + UNREACHED_PAUSE_US;
+            state.unreachable_until_us = now_us + UNREACHED_PAUSE_US;
         }
     }
 
--- a/crates/laurelstall_workspace/src/token_bucket.rs
+++ b/crates/laurelstall_workspace/src/token_bucket.rs
@@ -1,6 +1,6 @@
-//! A token bucket over a clock that its user reads.
+//! A token bucket that is driven by the caller's clock.
 
-/// A bucket that fills at a steady rate up to a size.
+/// A token bucket that refills at a constant rate up to its size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
     level: f64,
@@ -10,34 +10,34 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds `level` tokens now.
+    /// Creates a bucket with `level` tokens that refills with `per_s` tokens per second.
     pub fn new(per_s: f64, size: f64, level: f64, now_us: u64) -> Self {
         Self { level: level.min(size), filled_at_us: now_us, per_s, size }
     }
 
-    /// Changes rate and size; what was saved beyond a smaller size is lost.
+    /// Changes rate and size; tokens beyond a smaller size are lost.
     pub fn set_rate(&mut self, per_s: f64, size: f64, now_us: u64) {
-        self.fill(now_us);
+        self.refill(now_us);
         self.per_s = per_s;
         self.size = size;
         self.level = self.level.min(size);
     }
 
-    /// Takes as many whole tokens as there are, at most `wanted`.
+    /// Takes up to `wanted` whole tokens and returns how many were taken.
     pub fn take(&mut self, wanted: u32, now_us: u64) -> u32 {
-        self.fill(now_us);
+        self.refill(now_us);
         let taken = wanted.min(self.level.max(0.0) as u32);
         self.level -= f64::from(taken);
         taken
     }
 
-    /// Takes tokens back that were not used.
+    /// Returns unused tokens to the bucket.
     pub fn give_back(&mut self, count: u32, now_us: u64) {
-        self.fill(now_us);
+        self.refill(now_us);
         self.level = (self.level + f64::from(count)).min(self.size);
     }
 
-    /// Time until there is a whole token, in µs; 0 when there is one.
+    /// Time in µs until the bucket has a whole token; 0 when it has one, `u64::MAX` when it never will.
     pub fn wait_us(&self, now_us: u64) -> u64 {
         let missing = 1.0 - self.level_at(now_us);
         if missing <= 0.0 {
@@ -49,13 +49,13 @@
         (missing / self.per_s * 1e6).ceil() as u64
     }
 
-    /// Tokens that are there at `now_us`.
+    /// The number of tokens in the bucket at `now_us`.
     pub fn level_at(&self, now_us: u64) -> f64 {
         let elapsed_s = now_us.saturating_sub(self.filled_at_us) as f64 / 1e6;
         (self.level + elapsed_s * self.per_s).min(self.size)
     }
 
-    fn fill(&mut self, now_us: u64) {
+    fn refill(&mut self, now_us: u64) {
         self.level = self.level_at(now_us);
         self.filled_at_us = self.filled_at_us.max(now_us);
     }
--- a/crates/laurelstall_workspace/tests/keys.rs
+++ b/crates/laurelstall_workspace/tests/keys.rs
@@ -1,4 +1,4 @@
-//! From keys to workspaces.
+//! Lookup of workspaces by keys.
 
 use laurelstall_config::{
     key_digest::{KEY_BYTES_MAX, KeyDigest, KeyError},
@@ -10,20 +10,20 @@
 const KEY: &[u8] = b"a-key-of-the-bakery";
 
 fn team(needs_keys: bool, keys: &[&[u8]]) -> Team {
-    let digests = keys.iter().map(|key| KeyDigest::of_key(key).expect("it is a key"));
+    let digests = keys.iter().map(|key| KeyDigest::of_key(key).expect("the key is valid"));
     let bakery = Workspace { keys: digests.collect(), ..Workspace::new("bakery") };
     Team { needs_keys, workspaces: vec![bakery], ..Team::default() }
 }
 
-fn name(verdict: &KeyVerdict) -> Option<&str> {
-    match verdict {
+fn name(lookup: &KeyVerdict) -> Option<&str> {
+    match lookup {
         KeyVerdict::Of(workspace) => Some(&workspace.name),
         _ => None,
     }
 }
 
 #[test]
-fn a_key_names_its_workspace_and_any_other_is_unknown() {
+fn a_key_identifies_its_workspace_and_others_are_unknown() {
     let directory = KeyDirectory::new(&team(true, &[KEY]));
     assert_eq!(name(&directory.judge(Some(KEY), false)), Some("bakery"));
     assert_eq!(directory.judge(Some(b"a-key-of-the-bakerz"), false), KeyVerdict::Unknown);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_public_route_needs_no_key_but_one_that_is_brought_counts() {
+fn a_key_is_optional_on_a_public_route() {
     let directory = KeyDirectory::new(&team(true, &[KEY]));
     assert_eq!(directory.judge(None, true), KeyVerdict::OfNone);
     assert_eq!(directory.judge(Some(b"nobody's"), true), KeyVerdict::OfNone);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_team_that_asks_for_keys_and_has_none_takes_no_call() {
+fn a_team_that_needs_keys_and_has_none_rejects_all_calls() {
     let directory = KeyDirectory::new(&Team { needs_keys: true, ..Team::default() });
     assert!(directory.knows_keys());
     assert_eq!(directory.judge(Some(KEY), false), KeyVerdict::Unknown);
@@ -50,7 +50,7 @@
 #[test]
 fn hundreds_of_thousands_of_keys_are_found() {
     let keys = (0..300_000).map(|n| format!("key-{n}"));
-    let digests = keys.map(|key| KeyDigest::of_key(key.as_bytes()).expect("it is a key"));
+    let digests = keys.map(|key| KeyDigest::of_key(key.as_bytes()).expect("the key is valid"));
     let bakery = Workspace { keys: digests.collect(), ..Workspace::new("bakery") };
     let directory = KeyDirectory::new(&Team { workspaces: vec![bakery], ..team(true, &[]) });
     assert_eq!(directory.key_count(), 300_000);
@@ -59,12 +59,12 @@
 }
 
 #[test]
-fn keys_that_are_none_are_told_without_showing_them() {
+fn errors_for_invalid_keys_do_not_show_them() {
     assert_eq!(KeyDigest::of_key(b""), Err(KeyError::Empty));
     let long = vec![b'x'; 100_000];
-    let error = KeyDigest::of_key(&long).expect_err("it is too long");
+    let error = KeyDigest::of_key(&long).expect_err("the key is too long");
     assert_eq!(error.to_string(), format!("a key has 100000 bytes, {KEY_BYTES_MAX} is the most"));
-    let digest = KeyDigest::of_key(KEY).expect("it is a key");
+    let digest = KeyDigest::of_key(KEY).expect("the key is valid");
     assert_eq!(format!("{digest:?}"), "KeyDigest(..)");
     assert_eq!(digest.to_string().parse(), Ok(digest));
     assert_eq!("12".parse::<KeyDigest>(), Err(KeyError::NoDigest));
