--- a/crates/laurelstall_node/src/call.rs
+++ b/crates/laurelstall_node/src/call.rs
@@ -1,4 +1,4 @@
-//! One call at the entry: attempts, one after the other, until there is an answer to give.
+//! Runs one call at the entry: sends attempts to targets until the caller can be answered.
 
 use crate::{
     active::InForce,
@@ -12,7 +12,7 @@
 };
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
-use judging::Next;
+use judging::NextAction;
 use laurelstall_balance::chooser::Choice;
 use laurelstall_guard::{
     clock::Clock,
@@ -33,73 +33,77 @@
 mod notes;
 mod sending;
 
-/// What all calls of an entry share.
+/// State shared by all calls of an entry.
 #[derive(Debug)]
 pub struct CallContext {
     /// The node's clock.
     pub clock: Clock,
     /// The host's name.
     pub host: String,
-    /// The guard of the target beside this node.
+    /// The guard of this host's own target.
     pub local: Arc<dyn AttemptHandler>,
-    /// The way to other nodes.
+    /// Client for requests to other nodes.
     pub client: PeerClient,
-    /// The budget for observing.
+    /// Spends the byte budget for load observations.
     pub observer: Arc<Observer>,
-    /// Where decisions are written.
+    /// Log of routing decisions.
     pub decisions: DecisionLog,
-    /// Counts.
+    /// Event counters of the node.
     pub counters: Arc<Counters>,
-    /// How long things take.
+    /// Latency histograms.
     pub latencies: Arc<Latencies>,
-    /// The header fields that callers know.
+    /// Names and formats of header fields.
     pub dialect: Arc<dyn HeaderDialect>,
-    /// What is known of requests that ended targets.
+    /// Records of requests that may crash targets.
     pub crashes: Arc<CrashRegistry>,
 }
 
-/// A target's answer that is kept while a repeatable call is tried once more.
-struct Spare {
+/// A target's server error, returned to the caller if the retries yield no better answer.
+struct FallbackAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: AnswerBody,
 }
 
-/// Where an attempt goes.
+/// The target chosen for an attempt, with the details that the decision log records.
 struct Destination {
     choice: Choice,
     name: String,
     host: String,
-    why: String,
+    choice_reason: String,
     runner_up: Option<(String, u64)>,
     targets: usize,
     hint_age_us: Option<u64>,
     sent_at_us: u64,
 }
 
-/// A call on its way.
+/// A call in progress.
 pub struct Call<'a> {
     context: &'a CallContext,
     in_force: &'a InForce,
     service: Arc<ServiceState>,
     request: CallRequest,
     body: Option<AttemptBody>,
+    /// Indices of targets that are not tried again.
     excluded: Vec<usize>,
+    /// Number of attempts made, including hedges.
     attempts: u32,
-    /// Attempts that reached a target, or may have.
-    tries: u32,
-    /// Guards and targets that refused the call for their load.
+    /// Number of attempts that a target has run or may have run.
+    possible_runs: u32,
+    /// Number of refusals by overloaded guards and targets.
     refusals: u32,
+    /// Number of times that a guard handed the queued call back to be sent elsewhere.
     hand_backs: u32,
-    /// Targets that refused the call for being slow.
+    /// Indices of targets that refused the call because they are slow.
     slow: Vec<usize>,
+    /// Whether an earlier attempt ended with an unknown outcome.
     is_unknown: bool,
     last_refusal: Option<Refusal>,
-    spare: Option<Spare>,
+    fallback: Option<FallbackAnswer>,
 }
 
 impl<'a> Call<'a> {
-    /// Takes a call up.
+    /// Creates a call that has made no attempt yet.
     pub fn new(
         context: &'a CallContext,
         in_force: &'a InForce,
@@ -115,31 +119,31 @@
             body: Some(body),
             excluded: Vec::new(),
             attempts: 0,
-            tries: 0,
+            possible_runs: 0,
             refusals: 0,
             hand_backs: 0,
             slow: Vec::new(),
             is_unknown: false,
             last_refusal: None,
-            spare: None,
+            fallback: None,
         }
     }
 
-    /// Runs the call to the answer its caller gets.
+    /// Runs the call until its outcome for the caller is known.
     pub async fn run(mut self) -> CallOutcome {
         let now_us = self.context.clock.now_us();
         let request = &self.request;
-        self.service.balancer().note_call(request.awaited_importance, request.is_of_repeat, now_us);
+        self.service.balancer().note_call(request.budget_importance, request.is_parent_retry, now_us);
         if self.request.ticket.is_none() {
-            asking::ask_targets(self.context, &self.service).await;
+            asking::query_targets(self.context, &self.service).await;
         }
         loop {
             let now_us = self.context.clock.now_us();
             if now_us >= self.request.deadline_us {
                 return self.give_up(RefusalReason::Deadline);
             }
-            // Whatever ended its targets would end the next one: nothing of it is sent.
-            if let Some(refusal) = self.held_back() {
+            // A request that crashes targets is not sent to another one.
+            if let Some(refusal) = self.quarantine_refusal() {
                 self.last_refusal = Some(refusal);
                 return self.give_up(RefusalReason::Held);
             }
@@ -151,9 +155,9 @@
             };
             self.attempts += 1;
             let (destination, answer) = self.attempt(destination, body).await;
-            match self.judge(&destination, answer) {
-                Next::Again => {}
-                Next::End(outcome) => return outcome,
+            match self.handle_answer(&destination, answer) {
+                NextAction::Retry => {}
+                NextAction::Finish(outcome) => return outcome,
             }
         }
     }
--- a/crates/laurelstall_node/src/call/asking.rs
+++ b/crates/laurelstall_node/src/call/asking.rs
@@ -1,4 +1,4 @@
-//! Asking a few targets how they are before a call is placed.
+//! Queries the load of a few targets before a target is chosen for a call.
 
 use super::CallContext;
 use crate::services::ServiceState;
@@ -6,24 +6,24 @@
 use laurelstall_balance::service_balancer::AskedTarget;
 use tokio::time::{Duration, timeout};
 
-/// Targets that are asked before a call: the second one brings a third of what two bring.
-const ASKED: usize = 2;
-/// Longest wait for their answers: a small part of the shortest runs, and far above the way to a near node.
-const PATIENCE: Duration = Duration::from_millis(10);
+/// Maximum number of targets queried for one call.
+const QUERIED_TARGETS_MAX: usize = 2;
+/// Longest time that a call waits for the queried targets.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Asks a few near targets of the service how they are, when that is worth it and the budget for observing covers
-/// it. No connection is opened for that.
-pub(super) async fn ask_targets(context: &CallContext, service: &ServiceState) {
-    let asked = service.balancer().to_ask(ASKED, context.clock.now_us());
-    if asked.is_empty() {
+/// Requests load hints from a few nearby targets of the service, if the balancer wants them and the observation
+/// budget allows it. Uses only connections that are already open.
+pub(super) async fn query_targets(context: &CallContext, service: &ServiceState) {
+    let queried = service.balancer().to_ask(QUERIED_TARGETS_MAX, context.clock.now_us());
+    if queried.is_empty() {
         return;
     }
-    let questions = asked.iter().map(|target| ask_target(context, service, target));
-    // What has not come in time is missed: the call goes by what is known.
-    let _ = timeout(PATIENCE, join_all(questions)).await;
+    let queries = queried.iter().map(|target| query_target(context, service, target));
+    // Hints that arrive after the timeout are not used; the call is placed by the load known so far.
+    let _ = timeout(QUERY_TIMEOUT, join_all(queries)).await;
 }
 
-async fn ask_target(context: &CallContext, service: &ServiceState, target: &AskedTarget) {
+async fn query_target(context: &CallContext, service: &ServiceState, target: &AskedTarget) {
     let address = service.address(&target.host).filter(|address| context.client.pool().has(*address));
     let Some(address) = address else { return };
     if let Some(hint) = context.observer.ask(&context.client, address).await {
--- a/crates/laurelstall_node/src/call/choosing.rs
+++ b/crates/laurelstall_node/src/call/choosing.rs
@@ -1,14 +1,17 @@
-//! Which target an attempt goes to, and what its guard is told of the choice.
+//! Chooses the target of an attempt and the options sent to its guard.
 
 use super::{Call, Destination};
 use laurelstall_balance::service_balancer::Choosing;
 
-/// A hint younger than this is not asked for anew, in µs.
+/// Age in µs below which a load hint is not requested again.
 const HINT_FRESH_US: u64 = 15_000;
-/// Most targets that may refuse one call for being slow: after so many, one more would hardly help.
+/// Maximum number of targets that may refuse one call because they are slow.
 const SLOW_REFUSALS_MAX: usize = 8;
 
 impl Call<'_> {
+    /// Chooses a target for the next attempt and counts the attempt as in flight there.
+    ///
+    /// Returns `None` when no target is eligible.
     pub(super) fn choose(&mut self, now_us: u64) -> Option<Destination> {
         let only = self.request.ticket.as_ref().map(|ticket| ticket.target.as_str());
         let useful_us = self.request.useful_until_us.map(|until_us| until_us.saturating_sub(now_us));
@@ -34,7 +37,7 @@
             choice,
             name: view.name.clone(),
             host: view.host.clone(),
-            why: if is_logged { choice.reason.to_string() } else { String::new() },
+            choice_reason: if is_logged { choice.reason.to_string() } else { String::new() },
             runner_up: runner_up.map(|(index, score)| (views[index].name.clone(), score as u64)),
             targets: views.len(),
             hint_age_us: view.hint(now_us).map(|(_, age_us)| age_us),
@@ -44,16 +47,18 @@
         Some(destination)
     }
 
-    /// From which slowness on the target may refuse the call: each target once, few in all, and not
-    /// the last one.
+    /// Returns the slowness in percent from which the target may refuse the call, or `None` if it may not refuse.
+    ///
+    /// Each target may refuse a call once, at most [`SLOW_REFUSALS_MAX`] targets may, and never the last one.
     pub(super) fn slow_from_percent(&self, destination: &Destination, now_us: u64) -> Option<u32> {
-        let is_asked_first = !self.slow.contains(&destination.choice.index);
-        let has_choice = self.slow.len() + 1 < destination.targets && self.slow.len() < SLOW_REFUSALS_MAX;
-        let may_refuse = self.request.ticket.is_none() && is_asked_first && has_choice;
+        let is_first_time = !self.slow.contains(&destination.choice.index);
+        let has_alternative =
+            self.slow.len() + 1 < destination.targets && self.slow.len() < SLOW_REFUSALS_MAX;
+        let may_refuse = self.request.ticket.is_none() && is_first_time && has_alternative;
         may_refuse.then(|| self.service.balancer().slow_from_percent(now_us))
     }
 
-    /// Whether to pay for a hint: only for a target whose last one is not fresh.
+    /// Whether the answer should carry a load hint: the last one is outdated and the observation budget allows it.
     pub(super) fn wants_hint(&self, destination: &Destination, observe_percent: u8, now_us: u64) -> bool {
         let age_us = self.service.balancer().hint_age_us(destination.choice.index, now_us);
         let is_due = age_us.is_none_or(|age_us| age_us >= HINT_FRESH_US);
--- a/crates/laurelstall_node/src/call/judging.rs
+++ b/crates/laurelstall_node/src/call/judging.rs
@@ -1,6 +1,6 @@
-//! What follows from the end of an attempt: an answer, one more attempt, or giving up.
+//! Decides after an attempt whether the call ends or makes another attempt.
 
-use super::{Call, Destination, Spare};
+use super::{Call, Destination, FallbackAnswer};
 use crate::{call_request::CallOutcome, counters::count};
 use laurelstall_guard::refusal::{Lesson, NextStep, Refusal, RefusalReason};
 use laurelstall_peer::{
@@ -8,42 +8,48 @@
     body::AnswerBody,
 };
 
-/// Most guards without room that a call asks which a running one waits for: after so many, one more would hardly help.
-const AWAITED_REFUSALS_MAX: u32 = 4;
+/// Maximum number of guards without capacity that a nested call tries.
+const NESTED_REFUSALS_MAX: u32 = 4;
 
-/// What comes after an attempt.
-pub(super) enum Next {
-    /// One more attempt.
-    Again,
-    /// What the caller gets.
-    End(CallOutcome),
+/// How a call continues after an attempt.
+pub(super) enum NextAction {
+    /// Makes another attempt.
+    Retry,
+    /// Ends the call with this outcome.
+    Finish(CallOutcome),
 }
 
 impl Call<'_> {
-    pub(super) fn judge(&mut self, destination: &Destination, mut answer: AttemptAnswer) -> Next {
-        self.note_outcome(destination, &answer);
+    /// Records the outcome of an attempt and decides how the call continues.
+    pub(super) fn handle_answer(
+        &mut self,
+        destination: &Destination,
+        mut answer: AttemptAnswer,
+    ) -> NextAction {
+        self.record_outcome(destination, &answer);
         match answer.outcome {
             AttemptOutcome::Answered { status, headers, body } => {
-                if status.is_server_error() && self.may_try_again(None) {
+                if status.is_server_error() && self.may_retry(None) {
                     self.excluded.push(destination.choice.index);
-                    self.spare = Some(Spare { status, headers, body });
-                    return Next::Again;
+                    self.fallback = Some(FallbackAnswer { status, headers, body });
+                    return NextAction::Retry;
                 }
-                Next::End(CallOutcome::Answered { status, headers, body })
+                NextAction::Finish(CallOutcome::Answered { status, headers, body })
             }
             AttemptOutcome::NotRun(refusal) => {
                 self.restore_body(answer.unread.take());
                 self.last_refusal = Some(refusal);
-                self.after_refusal(destination, refusal)
+                self.handle_refusal(destination, refusal)
             }
             AttemptOutcome::Unknown(cause) => {
                 self.is_unknown = true;
-                let is_suspect = cause == UnknownCause::TargetEnded && self.is_suspect(answer.ended.take());
-                if !is_suspect && self.may_try_again(None) {
+                let is_suspect =
+                    cause == UnknownCause::TargetEnded && self.is_crash_suspect(answer.ended.take());
+                if !is_suspect && self.may_retry(None) {
                     self.excluded.push(destination.choice.index);
-                    return Next::Again;
+                    return NextAction::Retry;
                 }
-                Next::End(self.end_unknown(cause.text()))
+                NextAction::Finish(self.finish_unknown(cause.text()))
             }
         }
     }
@@ -54,64 +60,64 @@
         }
     }
 
-    fn after_refusal(&mut self, destination: &Destination, refusal: Refusal) -> Next {
+    fn handle_refusal(&mut self, destination: &Destination, refusal: Refusal) -> NextAction {
         let index = destination.choice.index;
         let next = refusal.reason.facts().next;
         match next {
             NextStep::HandBack => {
                 self.hand_backs += 1;
                 count(&self.context.counters.hand_backs);
-                return Next::Again;
+                return NextAction::Retry;
             }
             NextStep::PassOver => {
                 self.slow.push(index);
-                return Next::Again;
+                return NextAction::Retry;
             }
-            _ if self.request.ticket.is_some() => return Next::End(self.give_up(refusal.reason)),
-            NextStep::GiveUp => return Next::End(self.give_up(refusal.reason)),
+            _ if self.request.ticket.is_some() => return NextAction::Finish(self.give_up(refusal.reason)),
+            NextStep::GiveUp => return NextAction::Finish(self.give_up(refusal.reason)),
             NextStep::ElsewhereFree | NextStep::ElsewhereFew | NextStep::ElsewherePaid => {
                 self.excluded.push(index)
             }
         }
-        let may_go_on = match next {
-            NextStep::ElsewhereFew => self.may_ask_another_guard(),
-            NextStep::ElsewherePaid => self.may_try_again(Some(refusal)),
+        let may_continue = match next {
+            NextStep::ElsewhereFew => self.may_try_another_guard(),
+            NextStep::ElsewherePaid => self.may_retry(Some(refusal)),
             _ => true,
         };
-        if !may_go_on {
-            return Next::End(self.give_up(refusal.reason));
+        if !may_continue {
+            return NextAction::Finish(self.give_up(refusal.reason));
         }
         if next != NextStep::ElsewherePaid {
             count(&self.context.counters.retries_free);
         }
-        Next::Again
+        NextAction::Retry
     }
 
-    /// Whether one more guard may be asked after one that has no room.
+    /// Whether another guard may be tried after one without capacity refused the call.
     ///
-    /// A call that a running one waits for asks a few guards without paying: the work done for the running call is lost
-    /// without it. With that and places kept free at cold targets, the worth that was lost so fell from 395 and 249 to 149
-    /// and 102 on two days that end with cold targets only (one run each).
-    fn may_ask_another_guard(&mut self) -> bool {
+    /// A nested call tries a few guards without spending retry budget: if it fails, the work of the call that waits for
+    /// it is lost.
+    fn may_try_another_guard(&mut self) -> bool {
         self.refusals += 1;
         if self.request.is_nested {
-            return self.refusals < AWAITED_REFUSALS_MAX;
+            return self.refusals < NESTED_REFUSALS_MAX;
         }
         let now_us = self.context.clock.now_us();
         self.refusals < self.request.route.tries && self.service.balancer().may_move(now_us)
     }
 
-    /// Whether one more attempt may be made: after a refusal always safe, else only if the
-    /// request may repeat; within the tries of the program and the service's retry budget.
-    fn may_try_again(&mut self, refusal: Option<Refusal>) -> bool {
+    /// Whether the call may make another attempt, within the `tries` of its route and the service's retry budget.
+    ///
+    /// After a refusal a retry is always safe; otherwise the route must allow the request to run more than once.
+    fn may_retry(&mut self, refusal: Option<Refusal>) -> bool {
         let is_safe = refusal.is_some() || self.request.route.may_repeat;
-        // What a target refused did not run there; it is counted apart.
-        let counted = if refusal.is_some() { &mut self.refusals } else { &mut self.tries };
+        // A refused attempt did not run, so refusals are counted separately.
+        let counted = if refusal.is_some() { &mut self.refusals } else { &mut self.possible_runs };
         *counted += 1;
         if !is_safe || *counted >= self.request.route.tries {
             return false;
         }
-        if !self.is_whole() && refusal.is_none() {
+        if !self.is_buffered() && refusal.is_none() {
             return false;
         }
         if self.request.ticket.is_some() {
@@ -119,7 +125,7 @@
         }
         let is_granted = {
             let now_us = self.context.clock.now_us();
-            self.service.balancer().may_retry(self.request.awaited_importance, now_us)
+            self.service.balancer().may_retry(self.request.budget_importance, now_us)
         };
         count(if is_granted {
             &self.context.counters.retries
@@ -129,39 +135,41 @@
         is_granted
     }
 
+    /// Returns the outcome of a call that makes no more attempts; `reason` applies if no attempt was refused.
     pub(super) fn give_up(&mut self, reason: RefusalReason) -> CallOutcome {
-        if let Some(Spare { status, headers, body }) = self.spare.take() {
+        if let Some(FallbackAnswer { status, headers, body }) = self.fallback.take() {
             return CallOutcome::Answered { status, headers, body };
         }
         if self.is_unknown {
             return CallOutcome::Unknown("an earlier attempt may have run");
         }
-        if self.is_ticket_unproved() {
+        if self.is_ticket_unresolved() {
             return CallOutcome::Unknown("the ticket's guard gave no word");
         }
         let mut refusal = self.last_refusal.unwrap_or(Refusal::new(reason));
         if refusal.reason == RefusalReason::HandedBack {
             refusal.reason = reason;
         }
-        let is_of_one_target = refusal.reason.facts().lesson == Lesson::IsAbsent;
-        if refusal.retry_after_ms == 0 || is_of_one_target {
+        let is_target_absent = refusal.reason.facts().lesson == Lesson::IsAbsent;
+        if refusal.retry_after_ms == 0 || is_target_absent {
             let now_us = self.context.clock.now_us();
             refusal.retry_after_ms = self.service.balancer().retry_after_ms(now_us) as u32;
         }
         CallOutcome::NotRun(refusal)
     }
 
-    /// Whether *not run* would be no proof: a ticket's call may have been sent before, and only
-    /// its guard, by voiding the ticket, can say that it never runs.
-    fn is_ticket_unproved(&self) -> bool {
-        let is_guards_word = self.last_refusal.is_some_and(|refusal| refusal.reason.facts().proves_ticket);
-        self.request.ticket.is_some() && !is_guards_word
+    /// Whether the ticket's call may have run on an earlier request of the caller.
+    ///
+    /// Only the guard that issued the ticket can rule this out, by voiding the ticket.
+    fn is_ticket_unresolved(&self) -> bool {
+        let is_voided = self.last_refusal.is_some_and(|refusal| refusal.reason.facts().proves_ticket);
+        self.request.ticket.is_some() && !is_voided
     }
 
-    fn end_unknown(&mut self, why: &'static str) -> CallOutcome {
-        match self.spare.take() {
-            Some(Spare { status, headers, body }) => CallOutcome::Answered { status, headers, body },
-            None => CallOutcome::Unknown(why),
+    fn finish_unknown(&mut self, reason: &'static str) -> CallOutcome {
+        match self.fallback.take() {
+            Some(FallbackAnswer { status, headers, body }) => CallOutcome::Answered { status, headers, body },
+            None => CallOutcome::Unknown(reason),
         }
     }
 }
--- a/crates/laurelstall_node/src/call/notes.rs
+++ b/crates/laurelstall_node/src/call/notes.rs
@@ -1,4 +1,4 @@
-//! What is learnt from the end of an attempt, and written down of it.
+//! Reports the outcome of an attempt to the balancer and the decision log.
 
 use super::{Call, Destination};
 use crate::{decision_log::Decision, metrics::observe_us};
@@ -8,8 +8,8 @@
 use laurelstall_peer::attempt::{AttemptAnswer, AttemptOutcome};
 
 impl Call<'_> {
-    /// Tells the balancer and the decision log how an attempt ended.
-    pub(super) fn note_outcome(&mut self, destination: &Destination, answer: &AttemptAnswer) {
+    /// Records the outcome of an attempt in the balancer, the latency histograms and the decision log.
+    pub(super) fn record_outcome(&mut self, destination: &Destination, answer: &AttemptAnswer) {
         let now_us = self.context.clock.now_us();
         let took_us = now_us.saturating_sub(destination.sent_at_us);
         if let Some(hint) = answer.hint {
@@ -17,9 +17,9 @@
             self.service.balancer().take_hint(index, &destination.name, hint, now_us);
         }
         if let AttemptOutcome::NotRun(refusal) = &answer.outcome {
-            self.note_refusal(destination, refusal, now_us);
+            self.record_refusal(destination, refusal, now_us);
         }
-        let (result, word) = match &answer.outcome {
+        let (result, outcome_name) = match &answer.outcome {
             AttemptOutcome::Answered { status, .. } if status.is_server_error() => {
                 (AttemptResult::Failed, "error")
             }
@@ -32,12 +32,12 @@
             AttemptOutcome::Unknown(cause) => (AttemptResult::Failed, cause.word()),
         };
         observe_us(&self.context.latencies.attempts, took_us);
-        self.note(destination, result);
-        self.write_decision(destination, word, took_us);
+        self.record_result(destination, result);
+        self.write_decision(destination, outcome_name, took_us);
     }
 
-    /// A refusal tells of the target's queue, without any byte of the budget for observing.
-    fn note_refusal(&self, destination: &Destination, refusal: &Refusal, now_us: u64) {
+    /// Updates the balancer's view of the target from a refusal, which costs nothing of the observation budget.
+    fn record_refusal(&self, destination: &Destination, refusal: &Refusal, now_us: u64) {
         let index = destination.choice.index;
         let name = &destination.name;
         let facts = refusal.reason.facts();
@@ -52,12 +52,13 @@
             Lesson::HasNoPlace => balancer.note_no_place(index, name, refusal.retry_after_ms, now_us),
             Lesson::Drains => balancer.note_draining(index, name, now_us),
             Lesson::IsAbsent => balancer.note_absent(index, name, refusal.retry_after_ms, now_us),
-            // A failure is noted with the result of the attempt.
+            // A failure is recorded with the result of the attempt.
             Lesson::Fails | Lesson::Nothing => {}
         }
     }
 
-    pub(super) fn note(&self, destination: &Destination, result: AttemptResult) {
+    /// Records the result of an attempt in the balancer, which may eject the target.
+    pub(super) fn record_result(&self, destination: &Destination, result: AttemptResult) {
         let now_us = self.context.clock.now_us();
         let class = self.request.class;
         let ejected = {
@@ -66,7 +67,7 @@
         };
         if let Some(ejected) = ejected {
             log::info!(
-                "target {} of {} ejected for the {}. time: error rate {:.2}, latency {} us",
+                "target {} of service {} ejected ({} ejections so far): error rate {:.2}, latency {} us",
                 ejected.target,
                 self.service.name,
                 ejected.times,
@@ -76,6 +77,7 @@
         }
     }
 
+    /// Writes an attempt to the decision log, if it is enabled.
     pub(super) fn write_decision(&self, destination: &Destination, outcome: &str, took_us: u64) {
         if !self.context.decisions.is_on() {
             return;
@@ -92,7 +94,7 @@
             version: self.policy_version(),
             fleet_version: self.in_force.configuration.version(&DocumentName::Fleet),
             target: destination.name.clone(),
-            why: destination.why.clone(),
+            why: destination.choice_reason.clone(),
             expected_us: destination.choice.score_us as u64,
             hint_age_us: destination.hint_age_us,
             runner_up: destination.runner_up.clone(),
--- a/crates/laurelstall_node/src/call/sending.rs
+++ b/crates/laurelstall_node/src/call/sending.rs
@@ -1,4 +1,4 @@
-//! One attempt on its way, and a hedge beside it.
+//! Sends an attempt and, after the hedging delay of its route, a second one to another target.
 
 use super::{Call, Destination};
 use crate::counters::count;
@@ -15,7 +15,7 @@
 use tokio::time::{sleep_until, timeout_at};
 
 impl<'a> Call<'a> {
-    /// The body for one more attempt; none when it was a stream that is used up.
+    /// Returns the body for the next attempt; `None` when it was a stream that has been consumed.
     pub(super) fn take_body(&mut self) -> Option<AttemptBody> {
         match self.body.take()? {
             AttemptBody::Whole(bytes) => {
@@ -26,17 +26,19 @@
         }
     }
 
-    pub(super) fn is_whole(&self) -> bool {
+    /// Whether the body is buffered, so that it can be sent again.
+    pub(super) fn is_buffered(&self) -> bool {
         matches!(self.body, Some(AttemptBody::Whole(_)))
     }
 
+    /// Makes one attempt, hedged if the route asks for it, and returns the answer with the destination it came from.
     pub(super) async fn attempt(
         &mut self,
         destination: Destination,
         body: AttemptBody,
     ) -> (Destination, AttemptAnswer) {
         let hedge_after_ms =
-            self.request.route.hedge_after_ms.filter(|_| self.is_whole() && self.attempts == 1);
+            self.request.route.hedge_after_ms.filter(|_| self.is_buffered() && self.attempts == 1);
         let first = self.send(&destination, body);
         let Some(hedge_after_ms) = hedge_after_ms else {
             return (destination, first.await);
@@ -53,6 +55,8 @@
         }
     }
 
+    /// Starts a hedging attempt at a target other than `first`; `None` if the hedge budget or the body is used up or
+    /// no other target is eligible.
     fn start_hedge(&mut self, first: &Destination) -> Option<(Destination, BoxFuture<'a, AttemptAnswer>)> {
         let now_us = self.context.clock.now_us();
         if !self.service.balancer().may_hedge(now_us) {
@@ -69,29 +73,30 @@
         Some((other, second))
     }
 
-    /// The first of two attempts that is answered; the other is cancelled by being dropped.
+    /// Returns the first of two attempts that is answered and cancels the other by dropping it.
     async fn race(
         &mut self,
         first: (Destination, BoxFuture<'a, AttemptAnswer>),
         second: (Destination, BoxFuture<'a, AttemptAnswer>),
     ) -> (Destination, AttemptAnswer) {
         let ((first_to, first), (second_to, second)) = (first, second);
-        let (ended_to, ended, other_to, other) = match select(first, second).await {
+        let (finished_to, finished, other_to, other) = match select(first, second).await {
             Either::Left((answer, second)) => (first_to, answer, second_to, second),
             Either::Right((answer, first)) => (second_to, answer, first_to, first),
         };
-        if matches!(ended.outcome, AttemptOutcome::Answered { .. }) {
+        if matches!(finished.outcome, AttemptOutcome::Answered { .. }) {
             drop(other);
-            self.note(&other_to, AttemptResult::Cancelled);
+            self.record_result(&other_to, AttemptResult::Cancelled);
             self.write_decision(&other_to, "cancelled", 0);
-            return (ended_to, ended);
+            return (finished_to, finished);
         }
-        self.note_outcome(&ended_to, &ended);
-        // The other attempt's word is about itself alone.
-        self.is_unknown |= matches!(ended.outcome, AttemptOutcome::Unknown(_));
+        self.record_outcome(&finished_to, &finished);
+        // The outcome of the other attempt does not show whether this one ran.
+        self.is_unknown |= matches!(finished.outcome, AttemptOutcome::Unknown(_));
         (other_to, other.await)
     }
 
+    /// Sends an attempt to the local guard or another node; it ends as unknown at the call's deadline.
     fn send(&self, destination: &Destination, body: AttemptBody) -> BoxFuture<'a, AttemptAnswer> {
         let context = self.context;
         let now_us = context.clock.now_us();
@@ -116,14 +121,14 @@
             importance: self.importance(),
             workspace: self.request.workspace.as_ref().map_or_else(String::new, |own| own.name.clone()),
             is_return: self.request.is_return,
-            is_repeat: self.tries > 0 || self.request.is_of_repeat,
+            is_repeat: self.possible_runs > 0 || self.request.is_parent_retry,
             may_repeat: self.request.route.may_repeat,
             may_hand_back,
             hand_backs: self.hand_backs,
             slow_from_percent: self.slow_from_percent(destination, now_us),
             ticket: self.request.ticket.as_ref().map(|ticket| (ticket.incarnation, ticket.number)),
             body: match &body {
-                AttemptBody::Whole(_) if self.waits_for_go(is_local) => BodyKind::OnGo,
+                AttemptBody::Whole(_) if self.sends_body_after_admission(is_local) => BodyKind::OnGo,
                 AttemptBody::Whole(bytes) if bytes.is_empty() => BodyKind::Empty,
                 AttemptBody::Whole(_) => BodyKind::AtOnce,
                 AttemptBody::Stream(_) => BodyKind::AfterAdmission,
@@ -152,19 +157,20 @@
         .boxed()
     }
 
-    /// Whether the call's body is sent only when the guard has reserved a slot.
+    /// Whether the body is sent only after the guard has reserved a slot.
     ///
-    /// A call that may not be repeated could else not go elsewhere when the guard's node dies while
-    /// the call waits there.
-    fn waits_for_go(&self, is_local: bool) -> bool {
+    /// A call that may run only once can then still be sent to another target if the guard's node fails while the call
+    /// is queued there.
+    fn sends_body_after_admission(&self, is_local: bool) -> bool {
         !is_local && !self.request.route.may_repeat && self.request.ticket.is_none()
     }
 
+    /// Returns the importance that the guard ranks the call by.
     pub(super) fn importance(&self) -> u8 {
         if self.request.is_nested { AWAITED_IMPORTANCE } else { self.request.importance }
     }
 
-    /// Time in which the answer has its full worth in µs; without an objective, the whole budget.
+    /// Returns the time left of the latency objective in µs, or the whole time budget if there is no objective.
     fn useful_us(&self, now_us: u64) -> u64 {
         let until_us = self.request.useful_until_us.unwrap_or(self.request.deadline_us);
         until_us.saturating_sub(now_us)
--- a/crates/laurelstall_node/src/call_request.rs
+++ b/crates/laurelstall_node/src/call_request.rs
@@ -1,4 +1,4 @@
-//! A call as its caller made it, and what its caller is told.
+//! A call as received from its caller, and its outcome.
 
 use http::{HeaderMap, StatusCode};
 use laurelstall_balance::class_times::CallClass;
@@ -9,63 +9,63 @@
 use laurelstall_policy::plan::Route;
 use std::sync::Arc;
 
-/// A call as it was taken from its caller.
+/// A call as received from its caller, with what its route and workspace decide.
 #[derive(Debug)]
 pub struct CallRequest {
-    /// The call's number.
+    /// Random number that identifies the call.
     pub id: u64,
-    /// The caller's own id of the request; empty when it has none.
+    /// The caller's own request ID; empty if it sent none.
     pub request_id: String,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub uri: String,
-    /// What makes it the same request as another one.
+    /// Digest by which repeated arrivals of the same request are recognised.
     pub digest: RequestDigest,
     /// End-to-end headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body, or the start and the rest of it.
+    /// The body, either buffered or as a stream.
     pub body: AttemptBody,
-    /// What the program decided.
+    /// The route chosen by the route table or the routing program.
     pub route: Route,
-    /// The workspace that it is of; none for none.
+    /// The workspace that the call belongs to, if any.
     pub workspace: Option<Arc<Workspace>>,
-    /// Data centres that it may be served in; none for all.
+    /// Data centres that may serve the call; `None` for all.
     pub data_centres: Option<Vec<String>>,
-    /// Its importance among callers' calls.
+    /// Importance relative to other callers' calls.
     pub importance: u8,
-    /// Whether another call waits for this one.
+    /// Whether the run of another call makes this call and waits for it.
     pub is_nested: bool,
-    /// Importance of what waits for the answer: of the call itself, or of the one whose run makes it.
-    pub awaited_importance: u8,
-    /// Whether the run that makes this call is a repeat: the service called may have had this call before.
-    pub is_of_repeat: bool,
-    /// Whether it comes back after an earlier attempt of its caller.
+    /// Importance that the retry budget uses: the parent call's for a nested call, else the call's own.
+    pub budget_importance: u8,
+    /// Whether the parent call's run is a retry, so that the service may have received this call before.
+    pub is_parent_retry: bool,
+    /// Whether the caller appears to be retrying an earlier call.
     pub is_return: bool,
-    /// The class of the call.
+    /// Class of calls with similar run times.
     pub class: CallClass,
-    /// When the call must be done, in µs of the node's clock.
+    /// Deadline of the call, in µs of the node's clock.
     pub deadline_us: u64,
-    /// Until when its answer has its full worth, in µs of the node's clock; none when nothing says so.
+    /// When the latency objective expires, in µs of the node's clock; `None` without an objective.
     pub useful_until_us: Option<u64>,
-    /// The ticket it brings.
+    /// The ticket sent with the call, which limits it to one run.
     pub ticket: Option<Ticket>,
 }
 
-/// What the caller is told.
+/// How a call ended, as reported to its caller.
 #[derive(Debug)]
 pub enum CallOutcome {
     /// A target's answer.
     Answered {
-        /// Its status.
+        /// HTTP status.
         status: StatusCode,
-        /// Its end-to-end headers.
+        /// End-to-end headers.
         headers: HeaderMap,
-        /// Its body.
+        /// Response body.
         body: AnswerBody,
     },
-    /// Proved: the call ran on no target.
+    /// The call certainly ran on no target.
     NotRun(Refusal),
-    /// The call may have run.
+    /// The call may have run; the text says why its outcome is unknown.
     Unknown(&'static str),
 }
--- a/crates/laurelstall_node/src/caller_rules.rs
+++ b/crates/laurelstall_node/src/caller_rules.rs
@@ -1,13 +1,13 @@
-//! The limits on callers in force: those of the settings, and what is published beside them.
+//! The limits on callers in force: the node's settings, overridden by the published configuration.
 
 use arc_swap::ArcSwap;
 use laurelstall_config::{settings::CallerLimits, system::PublishedCallerLimits};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Limits that change while the node runs; whoever reads them gets one consistent value.
+/// Limits that can change while the node runs; each read returns a consistent set.
 #[derive(Debug)]
 pub struct CallerRules {
-    in_force: ArcSwap<CallerLimits>,
+    current: ArcSwap<CallerLimits>,
     sources: Mutex<Sources>,
 }
 
@@ -18,31 +18,31 @@
 }
 
 impl CallerRules {
-    /// The limits of the settings.
+    /// Starts with the limits of the settings.
     pub fn new(settings: CallerLimits) -> Arc<Self> {
         let sources = Sources { settings, published: PublishedCallerLimits::default() };
-        Arc::new(Self { in_force: ArcSwap::from_pointee(settings), sources: Mutex::new(sources) })
+        Arc::new(Self { current: ArcSwap::from_pointee(settings), sources: Mutex::new(sources) })
     }
 
-    /// The limits in force.
+    /// Returns the limits in force.
     pub fn now(&self) -> CallerLimits {
-        **self.in_force.load()
+        **self.current.load()
     }
 
-    /// Takes reloaded settings.
+    /// Replaces the limits of the settings after a reload.
     pub fn set_settings(&self, settings: CallerLimits) {
-        self.change(|sources| sources.settings = settings);
+        self.update(|sources| sources.settings = settings);
     }
 
-    /// Takes what is published.
+    /// Replaces the published limits.
     pub fn set_published(&self, published: PublishedCallerLimits) {
-        self.change(|sources| sources.published = published);
+        self.update(|sources| sources.published = published);
     }
 
-    fn change(&self, change: impl FnOnce(&mut Sources)) {
+    fn update(&self, change: impl FnOnce(&mut Sources)) {
         let mut sources = self.sources.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut sources);
         let limits = sources.published.applied_to(sources.settings);
-        self.in_force.store(Arc::new(limits));
+        self.current.store(Arc::new(limits));
     }
 }
--- a/crates/laurelstall_node/src/dialect.rs
+++ b/crates/laurelstall_node/src/dialect.rs
@@ -1,7 +1,7 @@
-//! The border behind which the names and forms of header fields vary.
+//! Abstraction over the names and formats of header fields.
 //!
-//! Callers and targets of another environment may use other fields for the same facts; a node is
-//! given the dialect that is spoken where it runs.
+//! Environments differ in the fields that callers and targets use for the same information; each node uses the dialect
+//! of its environment.
 
 use crate::headers::{
     BUDGET, CALL, CALLER, DEPTH, OUTCOME, REASON, RETRY_AFTER_MS, TICKET, WORKSPACE, number_value,
@@ -11,98 +11,98 @@
 use laurelstall_config::team::SHED_HEADER;
 use std::fmt;
 
-/// What the entry tells a target about a call.
+/// Information about a call that the entry writes into the request head.
 #[derive(Debug, Clone, Copy)]
 pub struct CallFacts<'a> {
-    /// The node's own number for the call.
+    /// Number that identifies the call.
     pub call_id: u64,
-    /// Depth in the chain of calls that the target's own calls have.
+    /// Depth in the chain of calls for the calls that the target makes.
     pub depth: u64,
-    /// Name of the service beside the entry; empty when there is none.
+    /// Name of the entry host's own service; empty if there is none.
     pub caller_service: &'a str,
-    /// Name of the workspace whose key the caller brought; none when it brought none.
+    /// Name of the workspace whose key the caller sent, if any.
     pub workspace: Option<&'a str>,
 }
 
-/// What the guard tells its target about one attempt.
+/// Information about an attempt that the guard writes into the request head.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptFacts<'a> {
     /// Time left in ms.
     pub budget_ms: u64,
-    /// Name of the target that must run it.
+    /// Name of the target that must run the request.
     pub target: &'a str,
 }
 
-/// What a target's answer says of the attempt.
+/// What a target's answer shows about the attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
     /// The target ran the request.
     Ran,
-    /// The target says that it did not run it, and has no room now.
+    /// The target shed the request without running it, because of overload.
     Shed,
-    /// The target says that it did not run it because it is another one than was meant.
+    /// The target refused the request without running it, because it was meant for another target.
     OtherTarget,
     /// The answer belongs to another request.
     Foreign,
 }
 
-/// How busy a target says it is.
+/// Load that a target reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// How long work takes now, in percent of the usual.
+    /// Current run time in percent of the normal run time.
     pub slowness_percent: u32,
 }
 
-/// How a call that no target's answer ends is told to its caller.
+/// How a call without an answer is reported to its caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Failure<'a> {
     /// `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Why, in a word or two.
+    /// Short reason.
     pub reason: &'a str,
-    /// When to come back in ms; none when nothing can be said.
+    /// Retry delay in ms; `None` if it is unknown.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Names and forms of header fields towards callers and targets.
+/// Names and formats of header fields exchanged with callers and targets.
 pub trait HeaderDialect: Send + Sync + fmt::Debug {
-    /// The caller's own id of a request, for logs.
+    /// Returns the caller's own request ID.
     fn request_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
-    /// The id of the request that this one was made for, where the id tells; whether that one runs
-    /// here is for the caller to check.
+    /// Returns the ID of the parent request for which this one was made, if the request names one. The parent
+    /// need not be running on this host.
     fn parent_request_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
-    /// Who calls, where the request says so and each arrival of it would say the same.
+    /// Returns the caller's name for itself, if the request carries one that is the same each time it arrives.
     fn caller<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
-    /// Time that the caller waits, in ms.
+    /// Returns the time in ms that the caller waits.
     ///
     /// # Errors
     ///
-    /// The field's name, when its value is no number.
+    /// Returns the name of the field if its value is not a number.
     fn budget_ms(&self, headers: &HeaderMap) -> Result<Option<u64>, HeaderName>;
 
-    /// Depth in the chain of calls.
+    /// Returns the depth in the chain of calls.
     ///
     /// # Errors
     ///
-    /// The field's name, when its value is no number.
+    /// Returns the name of the field if its value is not a number.
     fn depth(&self, headers: &HeaderMap) -> Result<u64, HeaderName>;
 
-    /// Replaces the system's own fields in the head of a request on its way to a target.
+    /// Replaces the system's own fields in the head of a request to a target.
     fn write_call(&self, headers: &mut HeaderMap, facts: &CallFacts<'_>);
 
-    /// Adds what the target is told about one attempt.
+    /// Adds the fields about one attempt.
     fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
 
-    /// What the answer to a request with these headers says of the attempt.
+    /// Classifies the answer to a request with these headers.
     ///
-    /// `shed_status` is the status that, together with a mark, means that nothing ran.
+    /// `shed_status` is the status that, together with a marker field, means that the target shed the request.
     fn answer_kind(
         &self,
         request: &HeaderMap,
@@ -111,20 +111,20 @@
         shed_status: u16,
     ) -> AnswerKind;
 
-    /// The name that a target gives itself where it tells its load.
+    /// Returns the name that a target reports for itself along with its load.
     fn instance<'a>(&self, answer: &'a HeaderMap) -> Option<&'a str>;
 
-    /// How busy the target says it is.
+    /// Returns the load that the target reports.
     fn load(&self, answer: &HeaderMap) -> Option<TargetLoad>;
 
-    /// How much longer the target is cold, in ms, where it tells its load; 0 when it is warm, none when the answer says
-    /// nothing of it.
+    /// Returns the remaining cold start in ms that the target reports along with its load: 0 when it is warm, `None` if
+    /// the answer does not contain it.
     fn cold_ms(&self, answer: &HeaderMap) -> Option<u64>;
 
-    /// Marks a target's answer on its way to the caller.
+    /// Adds the system's fields to a target's answer for the caller.
     fn mark_answer(&self, headers: &mut HeaderMap, call_id: u64);
 
-    /// Marks an answer that no target gave; `request_id` is the caller's own.
+    /// Adds the system's fields to the answer for a failed call; `request_id` is the caller's own.
     fn mark_failure(
         &self,
         headers: &mut HeaderMap,
@@ -134,7 +134,7 @@
     );
 }
 
-/// The product's own fields.
+/// The default dialect, with the `laurelstall-*` fields.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OwnDialect;
 
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry: from a caller's HTTP request to the answer the caller gets.
+//! The entry: accepts callers' HTTP requests, routes them to targets and returns the answers.
 
 use crate::{
     active::{Active, InForce},
@@ -41,48 +41,48 @@
 mod authorizing;
 mod reading;
 
-use authorizing::Authorized;
-use reading::Accepted;
+use authorizing::Authorization;
+use reading::AcceptedHead;
 
-/// Where callers take tickets: `POST /laurelstall/tickets?service=NAME&count=N`.
+/// Path at which callers request tickets: `POST /laurelstall/tickets?service=NAME&count=N`.
 pub const TICKETS_PATH: &str = "/laurelstall/tickets";
-/// Tickets given for one request at most.
+/// Maximum number of tickets issued for one request.
 const TICKETS_MAX: u64 = 1_000;
-/// When a caller of a node that has no configuration yet should come back, in ms.
+/// Retry delay in ms for callers of a node that has no configuration yet.
 const NO_CONFIGURATION_RETRY_MS: u64 = 200;
-/// When a caller that a program refused should come back, in ms.
+/// Retry delay in ms for calls refused by a routing program.
 const PROGRAM_REFUSAL_RETRY_MS: u64 = 1_000;
-/// Header fields of a request at most.
+/// Maximum number of header fields of a request.
 const HEADER_COUNT_MAX: usize = 100;
 
-/// The part of a node that callers meet.
+/// The part of a node that serves callers.
 #[derive(Debug)]
 pub struct Entry {
-    /// What its calls share.
+    /// State shared by all calls.
     pub context: CallContext,
     /// The configuration in force.
     pub active: Arc<Active>,
-    /// The services called here.
+    /// The services called through this entry.
     pub services: Arc<Services>,
-    /// Name of the service beside this node, without its team; empty when there is none.
+    /// Name of this host's own service, without its team; empty when there is none.
     pub own_service: String,
-    /// What runs at the own target now.
+    /// Requests that are running at this host's own target.
     pub running: Arc<RunningRequests>,
     /// Limits on callers.
     pub limits: Arc<CallerRules>,
-    /// The time that callers usually give their calls.
+    /// Time budgets that callers usually set, used to recognise retries.
     pub budgets: Mutex<UsualBudgets>,
-    /// Whether the node is about to stop: callers are asked to close their connections.
+    /// Whether the node is stopping; responses over HTTP/1 then carry `connection: close`.
     pub is_stopping: AtomicBool,
-    /// What callers have got since the start.
+    /// Times of the first call and the first answer.
     pub milestones: Milestones,
     /// Quotas of workspaces.
     pub quotas: Arc<Quotas>,
-    /// Age in ms of what is known of keys from which no call that needs one is taken; 0 for any age.
+    /// Maximum age in ms of the known keys at which calls that need a key are still served; 0 for no limit.
     pub keys_age_max_ms: u64,
 }
 
-/// A request that was refused for a fault of its own, or of the configuration.
+/// A request that is invalid or that the configuration does not allow.
 struct Rejection {
     status: StatusCode,
     reason: String,
@@ -94,14 +94,14 @@
     }
 }
 
-/// What a caller asked, for the log.
-struct Asked {
+/// Parts of a request that the decision log records.
+struct LoggedRequest {
     method: Method,
     host: String,
     path: String,
 }
 
-impl Asked {
+impl LoggedRequest {
     fn new(request: &Request<AnswerBody>) -> Self {
         Self {
             method: request.method().clone(),
@@ -111,15 +111,15 @@
     }
 }
 
-/// What a caller gets.
+/// The reply to a caller.
 enum Reply {
-    /// A target's answer, or the node's own to a question that no target is asked.
+    /// A target's answer, or the node's own to a request for tickets.
     Answered(Response<AnswerBody>),
-    /// A call that got no answer.
+    /// A call that no target answered.
     Failed(FailedCall),
 }
 
-/// How a call without an answer is told.
+/// How a call without an answer is reported to its caller.
 struct FailedCall {
     status: StatusCode,
     outcome: &'static str,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Tickets, as callers get them.
+/// JSON body of the answer to a request for tickets.
 #[derive(Debug, Serialize)]
 struct TicketsAnswer {
     tickets: Vec<String>,
@@ -141,14 +141,14 @@
 }
 
 impl Entry {
-    /// Answers one request.
+    /// Answers one request of a caller.
     pub async fn handle(&self, request: Request<AnswerBody>) -> Response<AnswerBody> {
         let id = rand::random::<u64>();
         count(&self.context.counters.calls);
         let is_http1 = request.version() < http::Version::HTTP_2;
         let started_us = self.context.clock.now_us();
         let request_id = self.context.dialect.request_id(request.headers()).map(str::to_owned);
-        let asked = self.context.decisions.is_on().then(|| Asked::new(&request));
+        let logged = self.context.decisions.is_on().then(|| LoggedRequest::new(&request));
         self.milestones.note(Milestone::FirstCall, self.context.clock.elapsed_ms());
         let reply = match self.serve(id, request).await {
             Ok(reply) => reply,
@@ -162,30 +162,38 @@
         if matches!(&reply, Reply::Answered(response) if response.status().is_success()) {
             self.milestones.note(Milestone::FirstAnswer, self.context.clock.elapsed_ms());
         }
-        if let Some(asked) = asked {
-            self.write_end(id, request_id.as_deref(), asked, &reply, took_us);
+        if let Some(logged) = logged {
+            self.log_call_end(id, request_id.as_deref(), logged, &reply, took_us);
         }
-        let mut response = self.mark(reply, id, request_id.as_deref());
+        let mut response = self.build_response(reply, id, request_id.as_deref());
         if is_http1 && self.is_stopping.load(Ordering::Relaxed) {
             response.headers_mut().insert(http::header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    fn write_end(&self, call: u64, request_id: Option<&str>, asked: Asked, reply: &Reply, took_us: u64) {
+    /// Writes the end of a call to the decision log.
+    fn log_call_end(
+        &self,
+        call: u64,
+        request_id: Option<&str>,
+        logged: LoggedRequest,
+        reply: &Reply,
+        took_us: u64,
+    ) {
         let (status, outcome, reason) = match reply {
             Reply::Answered(response) => (response.status(), "answered", ""),
             Reply::Failed(failed) => (failed.status, failed.outcome, failed.reason.as_str()),
         };
         let configuration = &self.active.load().configuration;
-        let team = configuration.team_of_caller_host(&asked.host);
+        let team = configuration.team_of_caller_host(&logged.host);
         let name = team.map(|team| DocumentName::Team(team.team.clone()));
         self.context.decisions.write_end(CallEnd {
             call,
             request_id: request_id.unwrap_or_default().to_owned(),
-            method: asked.method.to_string(),
-            host: asked.host,
-            path: asked.path,
+            method: logged.method.to_string(),
+            host: logged.host,
+            path: logged.path,
             version: name.map(|name| configuration.version(&name)).unwrap_or_default(),
             status: status.as_u16(),
             outcome,
@@ -194,8 +202,8 @@
         });
     }
 
-    /// The response of a reply, with the header fields that callers know.
-    fn mark(&self, reply: Reply, id: u64, request_id: Option<&str>) -> Response<AnswerBody> {
+    /// Builds the response of a reply, with the header fields that callers expect.
+    fn build_response(&self, reply: Reply, id: u64, request_id: Option<&str>) -> Response<AnswerBody> {
         let dialect = &self.context.dialect;
         match reply {
             Reply::Answered(mut response) => {
@@ -221,7 +229,7 @@
     async fn serve(&self, id: u64, request: Request<AnswerBody>) -> Result<Reply, Rejection> {
         let (parts, body) = request.into_parts();
         let in_force = self.active.load();
-        let depth = self.check_head(&parts)?;
+        let depth = self.validate_head(&parts)?;
         let host = host_of(&parts.uri, &parts.headers)
             .ok_or_else(|| Rejection::new(StatusCode::BAD_REQUEST, "no host, or more than one"))?;
         if in_force.configuration.teams.is_empty() {
@@ -236,7 +244,7 @@
         if parts.uri.path() == TICKETS_PATH {
             return self.give_tickets(&in_force, team, &parts).await;
         }
-        let route = match self.decide(&in_force, team, &parts, &host)? {
+        let route = match self.find_route(&in_force, team, &parts, &host)? {
             Plan::Route(route) => route,
             Plan::Refuse(reason) => return Ok(self.refused_by_program(id, &in_force, team, &reason)),
         };
@@ -246,14 +254,14 @@
             Rejection::new(StatusCode::SERVICE_UNAVAILABLE, format!("no service {full_name}"))
         })?;
         let caller = match self.authorize(&in_force, team, &parts, &route)? {
-            Authorized::As(caller) => caller,
-            Authorized::Later(failed) => return Ok(Reply::Failed(failed)),
+            Authorization::Granted(caller) => caller,
+            Authorization::Deferred(failed) => return Ok(Reply::Failed(failed)),
         };
         let token = match self.take_token(&in_force, team, &caller).await {
             Ok(token) => token,
             Err(failed) => return Ok(Reply::Failed(failed)),
         };
-        let accepted = Accepted { route, depth, service: full_name, caller };
+        let accepted = AcceptedHead { route, depth, service: full_name, caller };
         let read = self.read_call(id, parts, body, accepted).await;
         let request = read.inspect_err(|_| self.quotas.give_back(token.as_ref()))?;
         let outcome = Call::new(&self.context, &in_force, service, request).run().await;
@@ -263,7 +271,8 @@
         Ok(self.reply(outcome))
     }
 
-    fn check_head(&self, parts: &Parts) -> Result<u64, Rejection> {
+    /// Checks the request head and returns its depth in the chain of calls.
+    fn validate_head(&self, parts: &Parts) -> Result<u64, Rejection> {
         if parts.method == Method::CONNECT {
             return Err(Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "CONNECT is not served"));
         }
@@ -280,7 +289,14 @@
         Ok(depth)
     }
 
-    fn decide(&self, in_force: &InForce, team: &Team, parts: &Parts, host: &str) -> Result<Plan, Rejection> {
+    /// Finds the route of a request in the route table, or by the team's routing program.
+    fn find_route(
+        &self,
+        in_force: &InForce,
+        team: &Team,
+        parts: &Parts,
+        host: &str,
+    ) -> Result<Plan, Rejection> {
         let found = in_force.configuration.routes(&team.team);
         if let Some((rule, service)) = found.and_then(|table| table.find(host, parts.uri.path())) {
             return Ok(Plan::Route(route_of(rule, service)));
@@ -295,12 +311,12 @@
         };
         program.decide(&view).map_err(|error| {
             count(&self.context.counters.program_errors);
-            log::debug!("program of team {}: {error}", team.team);
+            log::debug!("routing program of team {} failed: {error}", team.team);
             Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "the routing program failed")
         })
     }
 
-    /// Whether a route of the table takes the request and lets it run more than once.
+    /// Whether the request matches a route of the route table that lets it run more than once.
     pub fn may_repeat(&self, head: &Parts) -> bool {
         let in_force = self.active.load();
         let configuration = &in_force.configuration;
@@ -335,6 +351,7 @@
         }
     }
 
+    /// Reports a call that the routing program refused and writes it to the decision log.
     fn refused_by_program(&self, id: u64, in_force: &InForce, team: &Team, reason: &str) -> Reply {
         count(&self.context.counters.not_run);
         let name = DocumentName::Team(team.team.clone());
@@ -362,6 +379,7 @@
         Reply::Failed(FailedCall::not_run(status, reason, Some(PROGRAM_REFUSAL_RETRY_MS)))
     }
 
+    /// Answers a request for tickets with those of one target of the service.
     async fn give_tickets(&self, in_force: &InForce, team: &Team, parts: &Parts) -> Result<Reply, Rejection> {
         if parts.method != Method::POST {
             return Err(Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "tickets are taken with POST"));
@@ -416,33 +434,33 @@
 }
 
 fn read_tickets_query(query: &str) -> Result<(String, u64), Rejection> {
-    let bad = || Rejection::new(StatusCode::BAD_REQUEST, "wanted: service=NAME&count=1 to 1000");
+    let bad_query = || Rejection::new(StatusCode::BAD_REQUEST, "wanted: service=NAME&count=1 to 1000");
     let mut service = None;
     let mut wanted = 1;
     for pair in query.split('&') {
         match pair.split_once('=') {
             Some(("service", name)) => service = Some(name.to_owned()),
-            Some(("count", number)) => wanted = number.parse().map_err(|_| bad())?,
-            _ => return Err(bad()),
+            Some(("count", number)) => wanted = number.parse().map_err(|_| bad_query())?,
+            _ => return Err(bad_query()),
         }
     }
     if !(1..=TICKETS_MAX).contains(&wanted) {
-        return Err(bad());
+        return Err(bad_query());
     }
-    Ok((service.ok_or_else(bad)?, wanted))
+    Ok((service.ok_or_else(bad_query)?, wanted))
 }
 
 fn read_ticket(parts: &Parts, full_name: &str) -> Result<Option<Ticket>, Rejection> {
     let mut values = parts.headers.get_all(TICKET).iter();
     let Some(value) = values.next() else { return Ok(None) };
-    let bad = |message: &str| Rejection::new(StatusCode::BAD_REQUEST, message.to_owned());
+    let bad_ticket = |message: &str| Rejection::new(StatusCode::BAD_REQUEST, message.to_owned());
     if values.next().is_some() {
-        return Err(bad("more than one ticket"));
+        return Err(bad_ticket("more than one ticket"));
     }
     let ticket = Ticket::from_text(value.to_str().unwrap_or_default());
-    let ticket = ticket.map_err(|error| bad(&error.to_string()))?;
+    let ticket = ticket.map_err(|error| bad_ticket(&error.to_string()))?;
     if ticket.service != full_name {
-        return Err(bad("the ticket is for another service"));
+        return Err(bad_ticket("the ticket is for another service"));
     }
     Ok(Some(ticket))
 }
@@ -451,13 +469,13 @@
     Rejection::new(StatusCode::BAD_REQUEST, format!("{name} is not one number"))
 }
 
-/// What the caller of a refused call is told: it ran on no target, and when to come back.
+/// Reports a refused call: it ran on no target and may be retried after the refusal's delay.
 fn refused(refusal: &Refusal) -> FailedCall {
     let retry_after_ms = u64::from(refusal.retry_after_ms.max(1));
     FailedCall::not_run(StatusCode::SERVICE_UNAVAILABLE, refusal.reason.word(), Some(retry_after_ms))
 }
 
-/// What may be done with a request that a route of the table takes to `service`.
+/// Converts a rule of the route table into the route of a request to `service`.
 pub fn route_of(rule: &RouteRule, service: &str) -> Route {
     Route {
         may_repeat: rule.may_repeat,
@@ -472,7 +490,7 @@
     }
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<AnswerBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(whole(Bytes::from(text)));
--- a/crates/laurelstall_node/src/entry/authorizing.rs
+++ b/crates/laurelstall_node/src/entry/authorizing.rs
@@ -1,4 +1,4 @@
-//! Whose call it is, and whether its workspace may make one more.
+//! Authenticates calls by their workspace's key and charges them to its quota.
 
 use super::{Entry, FailedCall, Rejection};
 use crate::{
@@ -13,39 +13,39 @@
 use laurelstall_workspace::key_directory::{KeyDirectory, KeyVerdict};
 use std::sync::Arc;
 
-/// When a caller should come back whose call could not be judged yet, in ms: news of keys and of hosts are a second old
-/// at most.
-const JUDGED_LATER_RETRY_MS: u64 = 500;
+/// Retry delay in ms for calls that cannot be authorized yet because keys or hosts are not up to date.
+const DEFERRED_RETRY_MS: u64 = 500;
 
-/// Whose call it is.
+/// Identity of the caller.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Caller {
-    /// Its workspace; none for none.
+    /// The workspace that the call belongs to, if any.
     pub(super) workspace: Option<Arc<Workspace>>,
-    /// Whether it brought the key of that workspace; else a running call makes it.
+    /// Whether the caller sent the workspace's key; otherwise the workspace is that of the parent call.
     pub(super) has_key: bool,
-    /// Whether keys mean anything to the team.
-    pub(super) knows_keys: bool,
+    /// Whether the team has workspaces with keys.
+    pub(super) team_has_keys: bool,
 }
 
-/// What was found out of a call by its key.
-pub(super) enum Authorized {
-    /// It may be taken.
-    As(Caller),
-    /// It cannot be judged now, and is refused so.
-    Later(FailedCall),
+/// Result of authorizing a call.
+pub(super) enum Authorization {
+    /// The call is allowed.
+    Granted(Caller),
+    /// The call cannot be authorized now and is refused with this failure.
+    Deferred(FailedCall),
 }
 
 impl Caller {
-    /// The workspace whose key the caller brought.
+    /// Returns the name of the workspace whose key the caller sent.
     pub(super) fn named_by_key(&self) -> Option<&str> {
         self.workspace.as_ref().filter(|_| self.has_key).map(|workspace| workspace.name.as_str())
     }
 
-    /// Where its call may be served: where the route may, and the workspace; none for everywhere.
-    pub(super) fn data_centres(&self, of_route: &[String]) -> Option<Vec<String>> {
-        let of_workspace = self.workspace.as_ref().map_or(&[][..], |workspace| &workspace.data_centres);
-        match (of_route, of_workspace) {
+    /// Returns the data centres that both the route and the workspace allow; `None` for all.
+    pub(super) fn data_centres(&self, route_data_centres: &[String]) -> Option<Vec<String>> {
+        let workspace_data_centres =
+            self.workspace.as_ref().map_or(&[][..], |workspace| &workspace.data_centres);
+        match (route_data_centres, workspace_data_centres) {
             ([], []) => None,
             ([], only) | (only, []) => Some(only.to_vec()),
             (route, own) => Some(route.iter().filter(|name| own.contains(name)).cloned().collect()),
@@ -54,39 +54,43 @@
 }
 
 impl Entry {
-    /// Finds out whose call it is.
+    /// Determines the caller of a request.
     ///
-    /// A call that the own target makes for a request it runs is of that request's workspace, and brings no key.
+    /// A nested call from this host's own target carries no key and belongs to the workspace of its parent call.
     ///
     /// # Errors
     ///
-    /// A rejection when the call needs a key that it does not bring.
+    /// Returns a rejection if the call needs a key and carries none, or an unknown one.
     pub(super) fn authorize(
         &self,
         in_force: &InForce,
         team: &Team,
         parts: &Parts,
         route: &Route,
-    ) -> Result<Authorized, Rejection> {
+    ) -> Result<Authorization, Rejection> {
         let Some(directory) = in_force.keys.get(&team.team).filter(|directory| directory.knows_keys()) else {
-            return Ok(Authorized::As(Caller::default()));
+            return Ok(Authorization::Granted(Caller::default()));
         };
         let key = bearer_key(&parts.headers);
         if key.is_none()
-            && let Some(judged) = self.judge_nested(directory, parts, route)
+            && let Some(authorization) = self.authorize_nested(directory, parts, route)
         {
-            return Ok(judged);
+            return Ok(authorization);
         }
         if !route.is_public && !self.are_keys_fresh() {
             count(&self.context.counters.keys_stale);
-            return Ok(Authorized::Later(later("keys are not known to be up to date")));
+            return Ok(Authorization::Deferred(deferred("keys are not known to be up to date")));
         }
         let counters = &self.context.counters;
         match directory.judge(key, route.is_public) {
-            KeyVerdict::Of(workspace) => {
-                Ok(Authorized::As(Caller { workspace: Some(workspace), has_key: true, knows_keys: true }))
+            KeyVerdict::Of(workspace) => Ok(Authorization::Granted(Caller {
+                workspace: Some(workspace),
+                has_key: true,
+                team_has_keys: true,
+            })),
+            KeyVerdict::OfNone => {
+                Ok(Authorization::Granted(Caller { team_has_keys: true, ..Caller::default() }))
             }
-            KeyVerdict::OfNone => Ok(Authorized::As(Caller { knows_keys: true, ..Caller::default() })),
             KeyVerdict::Missing => {
                 count(&counters.keys_missing);
                 Err(Rejection::new(StatusCode::UNAUTHORIZED, "a key is needed"))
@@ -98,23 +102,30 @@
         }
     }
 
-    /// What is to be done with a call without a key that names a request it is made for; none when it names none.
+    /// Authorizes a nested call without a key; `None` when the request names no parent call.
     ///
-    /// A request that does not run here may have run here before this node started.
-    fn judge_nested(&self, directory: &KeyDirectory, parts: &Parts, route: &Route) -> Option<Authorized> {
+    /// A parent that is not running here may have been started before this node was, so the call is deferred.
+    fn authorize_nested(
+        &self,
+        directory: &KeyDirectory,
+        parts: &Parts,
+        route: &Route,
+    ) -> Option<Authorization> {
         self.context.dialect.parent_request_id(&parts.headers)?;
-        let caller = Caller { knows_keys: true, ..Caller::default() };
+        let caller = Caller { team_has_keys: true, ..Caller::default() };
         match self.parent(parts) {
             Some(parent) => {
                 let workspace = directory.named(&parent.workspace).cloned();
-                Some(Authorized::As(Caller { workspace, ..caller }))
+                Some(Authorization::Granted(Caller { workspace, ..caller }))
             }
-            None if route.is_public => Some(Authorized::As(caller)),
-            None => Some(Authorized::Later(later("the request that the call is made for does not run here"))),
+            None if route.is_public => Some(Authorization::Granted(caller)),
+            None => Some(Authorization::Deferred(deferred(
+                "the request that the call is made for does not run here",
+            ))),
         }
     }
 
-    /// Whether what is known of keys is not older than the settings allow.
+    /// Whether the known keys are at most as old as the settings allow.
     fn are_keys_fresh(&self) -> bool {
         if self.keys_age_max_ms == 0 {
             return true;
@@ -122,11 +133,11 @@
         self.quotas.spread().documents_age_ms() <= self.keys_age_max_ms
     }
 
-    /// Takes a token of the caller's quota; none when nothing bounds its calls, or a running call makes this one.
+    /// Takes a token from the quota of the caller's workspace; `None` when it has no quota or the call is nested.
     ///
     /// # Errors
     ///
-    /// How the call is refused; it has not run.
+    /// Returns a not-run failure if the quota is spent or no node that counts it answers.
     pub(super) async fn take_token(
         &self,
         in_force: &InForce,
@@ -144,11 +155,12 @@
                 let status = StatusCode::TOO_MANY_REQUESTS;
                 Err(FailedCall::not_run(status, "the workspace's quota is spent", Some(retry_after_ms)))
             }
-            Err(QuotaRefusal::NoOwner) => Err(later("no node that counts the workspace's calls answers")),
+            Err(QuotaRefusal::NoOwner) => Err(deferred("no node that counts the workspace's calls answers")),
         }
     }
 }
 
-fn later(reason: &str) -> FailedCall {
-    FailedCall::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, Some(JUDGED_LATER_RETRY_MS))
+/// Builds the failure of a call that cannot be authorized yet.
+fn deferred(reason: &str) -> FailedCall {
+    FailedCall::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, Some(DEFERRED_RETRY_MS))
 }
--- a/crates/laurelstall_node/src/entry/reading.rs
+++ b/crates/laurelstall_node/src/entry/reading.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to the call that it makes.
+//! Reads an HTTP request and builds the call to make.
 
 use super::{Entry, Rejection, authorizing::Caller, bad_number, read_ticket};
 use crate::{
@@ -17,21 +17,21 @@
 use std::sync::PoisonError;
 use tokio::time::Duration;
 
-/// How long the start of a body is waited for before it is passed on as a stream.
-const COLLECT_PATIENCE: Duration = Duration::from_millis(20);
+/// Time in which a body must arrive completely; after that it is forwarded as a stream.
+const COLLECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How long the end of a body is waited for before the request is placed.
+/// How much of a body is buffered before the request is sent on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BodyWait {
-    /// A moment: what is longer or slower is passed on as it comes.
+    /// Waits briefly; a longer or slower body is streamed.
     Short,
-    /// As long as something comes; what is too long is passed on as it comes.
+    /// Waits as long as data arrives; a body that exceeds the replay buffer is streamed.
     Long,
-    /// As long as something comes; what is too long is refused.
+    /// Waits as long as data arrives; a body that exceeds the replay buffer is refused.
     Whole,
 }
 
-/// What makes a request the same as another one; a body that is passed on as it comes is no part of it.
+/// Returns the digest by which a repeated request is recognised; a streamed body is not part of it.
 fn digest_of(head: &RequestHead<'_>, body: &AttemptBody) -> RequestDigest {
     match body {
         AttemptBody::Whole(bytes) => RequestDigest::of_whole(head, bytes),
@@ -39,28 +39,32 @@
     }
 }
 
-/// What was decided of a request by its head.
-pub(super) struct Accepted {
-    /// What may be done with it.
+/// What the head of an accepted request determines.
+pub(super) struct AcceptedHead {
+    /// The route of the request.
     pub(super) route: Route,
-    /// Its depth in a chain of calls.
+    /// Depth in the chain of calls.
     pub(super) depth: u64,
     /// Full name of the service.
     pub(super) service: String,
-    /// Whose it is.
+    /// The authorized caller.
     pub(super) caller: Caller,
 }
 
 impl Entry {
-    /// Reads the rest of a request.
+    /// Reads the body of an accepted request and builds the call.
+    ///
+    /// # Errors
+    ///
+    /// Returns a rejection if a header field is invalid or the body is too large or breaks off.
     pub(super) async fn read_call(
         &self,
         id: u64,
         mut parts: Parts,
         body: AnswerBody,
-        accepted: Accepted,
+        accepted: AcceptedHead,
     ) -> Result<CallRequest, Rejection> {
-        let Accepted { route, depth, service, caller } = accepted;
+        let AcceptedHead { route, depth, service, caller } = accepted;
         let ticket = read_ticket(&parts, &service)?;
         let request_id = self.context.dialect.request_id(&parts.headers).unwrap_or_default().to_owned();
         let budget_ms = self.budget_ms(&parts, &route)?;
@@ -87,11 +91,11 @@
         let is_whole = matches!(body, AttemptBody::Whole(_));
         strip_request(&mut parts.headers, is_whole);
         if let Some(authority) = parts.uri.authority() {
-            // An HTTP/2 request names its host outside the header fields.
+            // HTTP/2 carries the host in the `:authority` pseudo-header.
             parts.headers.insert(http::header::HOST, text_value(authority.as_str()));
         }
-        if caller.knows_keys {
-            // A key is between its caller and the entry.
+        if caller.team_has_keys {
+            // The key is not passed on to targets.
             parts.headers.remove(http::header::AUTHORIZATION);
         }
         let facts = CallFacts {
@@ -116,8 +120,8 @@
             data_centres: caller.data_centres(&route.data_centres),
             importance,
             is_nested,
-            awaited_importance: parent.as_ref().map_or(importance, |parent| parent.importance),
-            is_of_repeat: parent.is_some_and(|parent| parent.is_repeat),
+            budget_importance: parent.as_ref().map_or(importance, |parent| parent.importance),
+            is_parent_retry: parent.is_some_and(|parent| parent.is_repeat),
             workspace: caller.workspace,
             is_return,
             route,
@@ -127,28 +131,30 @@
         })
     }
 
-    /// The request that the own target runs and makes this call for; none when it makes it for none.
+    /// Returns the request running at this host's own target that makes this call; `None` when there is none.
     pub(super) fn parent(&self, parts: &Parts) -> Option<RunFacts> {
         let parent = self.context.dialect.parent_request_id(&parts.headers)?;
         self.running.facts(parent)
     }
 
+    /// Returns the time budget in ms: the caller's, limited by the route's and the configured maximum.
     fn budget_ms(&self, parts: &Parts, route: &Route) -> Result<u64, Rejection> {
-        let asked = self.context.dialect.budget_ms(&parts.headers).map_err(bad_number)?;
+        let requested = self.context.dialect.budget_ms(&parts.headers).map_err(bad_number)?;
         let limits = self.limits.now();
-        let decided = route.budget_ms.unwrap_or(limits.budget_default_ms);
-        Ok(asked.unwrap_or(decided).min(decided).min(limits.budget_max_ms))
+        let from_route = route.budget_ms.unwrap_or(limits.budget_default_ms);
+        Ok(requested.unwrap_or(from_route).min(from_route).min(limits.budget_max_ms))
     }
 
-    /// Whether a caller's call comes back after an earlier attempt, by the time it has left.
+    /// Whether the time budget, compared with typical ones, shows that the caller is retrying an earlier call.
     fn is_return(&self, parts: &Parts, route: &Route) -> Result<bool, Rejection> {
-        let asked_ms = self.context.dialect.budget_ms(&parts.headers).map_err(bad_number)?;
-        let Some(asked_ms) = asked_ms else { return Ok(false) };
+        let requested_ms = self.context.dialect.budget_ms(&parts.headers).map_err(bad_number)?;
+        let Some(requested_ms) = requested_ms else { return Ok(false) };
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
-        Ok(budgets.note(route.class, asked_ms))
+        Ok(budgets.note(route.class, requested_ms))
     }
 
-    /// A request like one that was at work when a target ended is told from it by its body.
+    /// Decides how much of the body to buffer; the digest needs the whole body if requests with the same head were
+    /// running when a target crashed.
     fn body_wait(&self, has_ticket: bool, head: &RequestHead<'_>) -> BodyWait {
         if has_ticket {
             return BodyWait::Whole;
@@ -156,6 +162,7 @@
         if self.context.crashes.knows_head(head.hash()) { BodyWait::Long } else { BodyWait::Short }
     }
 
+    /// Reads the body, buffered as far as `wait` allows.
     async fn read_body(
         &self,
         parts: &Parts,
@@ -164,18 +171,18 @@
     ) -> Result<AttemptBody, Rejection> {
         let length = read_number(&parts.headers, &http::header::CONTENT_LENGTH).map_err(bad_number)?;
         let limits = self.limits.now();
-        let most = limits.body_bytes;
-        if most > 0 && length.is_some_and(|length| length > most) {
+        let max_bytes = limits.body_bytes;
+        if max_bytes > 0 && length.is_some_and(|length| length > max_bytes) {
             return Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
         }
-        let body = match most {
+        let body = match max_bytes {
             0 => body,
-            most => http_body_util::Limited::new(body, most as usize).boxed_unsync(),
+            max_bytes => http_body_util::Limited::new(body, max_bytes as usize).boxed_unsync(),
         };
         let idle = Duration::from_millis(limits.idle_timeout_ms);
         let body = idle_body(body, idle);
-        let patience = if wait == BodyWait::Short { COLLECT_PATIENCE } else { idle };
-        let collected = collect(body, limits.replay_bytes, patience).await;
+        let timeout = if wait == BodyWait::Short { COLLECT_TIMEOUT } else { idle };
+        let collected = collect(body, limits.replay_bytes, timeout).await;
         match collected {
             Ok(Collected::Whole(bytes)) => Ok(AttemptBody::Whole(bytes)),
             Ok(Collected::Partial(_)) if wait == BodyWait::Whole => {
--- a/crates/laurelstall_node/src/headers.rs
+++ b/crates/laurelstall_node/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields of the system, and those that end at each hop.
+//! The system's own header fields, and the removal of hop-by-hop fields.
 
 use http::{
     HeaderMap, HeaderName, HeaderValue,
@@ -10,31 +10,31 @@
 
 /// How a call ended: `answered`, `not-run` or `unknown`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("laurelstall-outcome");
-/// The call's number.
+/// Number that identifies the call.
 pub const CALL: HeaderName = HeaderName::from_static("laurelstall-call");
-/// Why a call did not end well.
+/// Why a call was not answered.
 pub const REASON: HeaderName = HeaderName::from_static("laurelstall-reason");
 /// Time left for the call in ms, from callers and to targets.
 pub const BUDGET: HeaderName = HeaderName::from_static("laurelstall-budget-ms");
-/// Who calls, as the caller itself says: callers that give names are told apart where their requests are alike.
+/// Name that the caller gives itself; distinguishes otherwise identical requests of different callers.
 pub const CALLER: HeaderName = HeaderName::from_static("laurelstall-caller");
-/// How deep in a chain of calls this one is.
+/// Depth of the call in a chain of nested calls.
 pub const DEPTH: HeaderName = HeaderName::from_static("laurelstall-depth");
-/// The ticket of a call that may not be repeated.
+/// The ticket that limits a call to one run.
 pub const TICKET: HeaderName = HeaderName::from_static("laurelstall-ticket");
-/// When to come back, in ms; finer than `retry-after`.
+/// Retry delay in ms; finer than `retry-after`.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("laurelstall-retry-after-ms");
 
-/// The workspace that a call is of, to targets; what callers say there is not passed on.
+/// The workspace that a call belongs to, sent to targets; a value sent by the caller is removed.
 pub const WORKSPACE: HeaderName = HeaderName::from_static("laurelstall-workspace");
 
-/// Scheme of a caller's key in `authorization`.
+/// Authentication scheme of a caller's key in `authorization`.
 const KEY_SCHEME: &str = "bearer";
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Removes what ends at this hop (RFC 9110, 7.6.1), named by `connection` or by custom.
+/// Removes hop-by-hop fields (RFC 9110, 7.6.1): those named by `connection` and the well-known ones.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named = headers
         .get_all(CONNECTION)
@@ -46,7 +46,7 @@
     for name in named {
         headers.remove(name);
     }
-    // `te: trailers` is asked for again by the next hop's own library.
+    // The HTTP library of the next hop adds `te: trailers` itself.
     for name in [
         CONNECTION,
         KEEP_ALIVE,
@@ -62,20 +62,21 @@
     }
 }
 
-/// Prepares a caller's head for a target; a body of known length is measured anew.
-pub fn strip_request(headers: &mut HeaderMap, is_whole: bool) {
+/// Removes the fields of a caller's request that must not reach a target; the length of a buffered body is set again
+/// when it is sent.
+pub fn strip_request(headers: &mut HeaderMap, is_buffered: bool) {
     strip_hop_by_hop(headers);
     headers.remove(http::header::EXPECT);
-    if is_whole {
+    if is_buffered {
         headers.remove(CONTENT_LENGTH);
     }
 }
 
-/// A number in a header; an error when it stands there but is none.
+/// Reads a number from a header field; `None` if the field is absent.
 ///
 /// # Errors
 ///
-/// The header's name, when its value is no number or stands more than once.
+/// Returns the name of the field if its value is not a number or the field occurs more than once.
 pub fn read_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, HeaderName> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
@@ -86,19 +87,19 @@
     Ok(number)
 }
 
-/// A number as a header's value.
+/// Converts a number to a header value.
 pub fn number_value(number: u64) -> HeaderValue {
     HeaderValue::from(number)
 }
 
-/// A text of the system's own as a header's value.
+/// Converts a text to a header value; a text that is not valid as one becomes `-`.
 pub fn text_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static("-"))
 }
 
-/// The host name that a request is for, without port, in lower case.
+/// Returns the host name of a request, without port and in lower case.
 ///
-/// None when there is no host, or two that differ (RFC 9112, 3.2).
+/// `None` if there is no host, or if there are two that differ (RFC 9112, 3.2).
 pub fn host_of(uri: &http::Uri, headers: &HeaderMap) -> Option<String> {
     let mut hosts = headers.get_all(HOST).iter();
     let header = hosts.next().map(|value| value.to_str().unwrap_or("/"));
@@ -114,7 +115,7 @@
     Some(authority.host().to_ascii_lowercase())
 }
 
-/// The key that a caller brings; an empty one, which nobody has, when the field stands twice.
+/// Returns the bearer key of a request. A repeated `authorization` field yields an empty key, which no workspace has.
 pub fn bearer_key(headers: &HeaderMap) -> Option<&[u8]> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes();
@@ -127,7 +128,7 @@
     rest.map(<[u8]>::trim_ascii)
 }
 
-/// Writes whose call it is, in the place of whatever its caller wrote there.
+/// Sets or removes the workspace field, so that a value sent by the caller never passes.
 pub fn write_workspace(headers: &mut HeaderMap, name: &HeaderName, workspace: Option<&str>) {
     headers.remove(name);
     if let Some(workspace) = workspace {
--- a/crates/laurelstall_node/src/pace_look.rs
+++ b/crates/laurelstall_node/src/pace_look.rs
@@ -1,8 +1,7 @@
-//! Asks the target how fast it works and who it is.
+//! Queries the target for its load and its name.
 //!
-//! The pace of a target changes several times a second where neighbours share its host. Its answers
-//! tell it, but on a target with few calls, or one that holds its calls, the last answer is too old to
-//! decide by.
+//! The speed of a target can change several times a second when other processes share its host. Answers to calls report
+//! it, but on a target that answers few calls the last report may be outdated.
 
 use crate::{
     body::{Collected, collect},
@@ -19,55 +18,55 @@
 };
 use tokio::time::{Duration, timeout};
 
-/// How long an answer is waited for: calls wait for it, and a sound target answers in a few ms.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(20);
-/// Longest answer that is read, in bytes.
+/// Timeout of a query; calls may be waiting for its result.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(20);
+/// Maximum size in bytes of an answer.
 const ANSWER_BYTES_MAX: usize = 16 * 1024;
 
-/// What is needed to ask the target.
+/// Everything needed to query the target.
 #[derive(Debug, Clone, Copy)]
 pub struct PaceLook<'a> {
-    /// Where the target is.
+    /// Settings of the target, with its address.
     pub settings: &'a TargetSettings,
-    /// The way to it.
+    /// Client for the target.
     pub client: &'a TargetClient,
-    /// The header fields it knows.
+    /// Names and formats of header fields.
     pub dialect: &'a dyn HeaderDialect,
 }
 
-/// What a target told of itself.
+/// What a target reports about itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LookReport {
-    /// Whether it answered at all.
+    /// Whether the target answered at all.
     pub is_answered: bool,
-    /// The name it gives itself.
+    /// Name of the instance, if reported.
     pub instance: Option<String>,
-    /// How busy it is.
+    /// Load, if reported.
     pub load: Option<TargetLoad>,
-    /// How much longer it is cold, in ms; none when it said nothing.
+    /// Remaining cold start in ms, if reported.
     pub cold_ms: Option<u64>,
 }
 
 impl PaceLook<'_> {
-    /// Has the target tell of itself at `path`; an empty report when it does not in time.
+    /// Queries the target at `path`; the report is empty if it does not answer in time.
     ///
     /// # Errors
     ///
-    /// [`TargetError`] when it took no connection, or broke it.
+    /// Returns a [`TargetError`] if no connection could be opened or it broke.
     pub async fn report(self, path: &str) -> Result<LookReport, TargetError> {
-        let asked = timeout(LOOK_TIMEOUT, self.ask(path)).await;
-        asked.unwrap_or_else(|_| Ok(LookReport::default()))
+        let report = timeout(QUERY_TIMEOUT, self.query(path)).await;
+        report.unwrap_or_else(|_| Ok(LookReport::default()))
     }
 
-    async fn ask(self, path: &str) -> Result<LookReport, TargetError> {
+    async fn query(self, path: &str) -> Result<LookReport, TargetError> {
         let Some(request) = self.request(path) else {
-            log::warn!("the target cannot be asked at '{path}': it is no path");
+            log::warn!("cannot query the load of the target: load path '{path}' is not valid");
             return Ok(LookReport::default());
         };
         let (response, connection) = self.client.send(request, true).await?;
         let (parts, body) = response.into_parts();
         let body = body.map_err(BodyError::from).boxed_unsync();
-        let read = collect(body, ANSWER_BYTES_MAX, LOOK_TIMEOUT).await;
+        let read = collect(body, ANSWER_BYTES_MAX, QUERY_TIMEOUT).await;
         if let (Ok(Collected::Whole(_)), Some(connection)) = (read, connection) {
             connection.give_back();
         }
@@ -79,7 +78,7 @@
     fn request(self, path: &str) -> Option<Request<AnswerBody>> {
         let mut headers = HeaderMap::new();
         headers.insert(HOST, self.settings.address.to_string().parse().ok()?);
-        let nothing = AttemptBody::Whole(Bytes::new());
-        target_request(self.settings, Method::GET.as_str(), path, headers, nothing)
+        let empty_body = AttemptBody::Whole(Bytes::new());
+        target_request(self.settings, Method::GET.as_str(), path, headers, empty_body)
     }
 }
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of workspaces: tokens that this node asks others for, and those that it gives out.
+//! Rate limits of workspaces: requests quota tokens from the nodes that own shares, and grants tokens of own shares.
 
 use crate::{
     active::Active,
@@ -30,44 +30,43 @@
     time::{Duration, sleep, timeout},
 };
 
-/// How long the owner of a share is waited for until the next one is asked: far above the way to any node and what it
-/// needs to answer on a tenth of a core, and a small part of what callers wait for.
-const OWNER_PATIENCE: Duration = Duration::from_millis(60);
-/// Longest time after which a token is given back, in µs: one that comes back later would count in another window than
-/// the one it was taken in.
+/// How long to wait for the owner of a share before requesting a token from the next owner.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum age in µs of a token that is returned; an older one may belong to an earlier rate-limit window.
 const GIVE_BACK_MAX_US: u64 = 500_000;
-/// Shortest time that a refused caller is told to stay away, in ms: sooner, what is known of a share is not asked anew.
+/// Minimum retry delay in ms for refused callers; an empty share is not queried again sooner.
 const RETRY_MIN_MS: u64 = 100;
 
-/// Age of the newest news from the platform from which an owner makes sure that it can reach others, in ms: a node that
-/// hears of nothing may have been taken off the list of hosts, and another one owns its shares then.
-const NEWS_AGE_MAX_MS: u64 = 3_000;
-/// Pause between two looks at that.
-const TOUCH_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a look is believed, in µs.
-const TOUCH_MAX_US: u64 = 1_200_000;
-/// Nodes that are asked; half of them must answer.
-const TOUCH_NODES: usize = 6;
-/// How long they are waited for.
-const TOUCH_PATIENCE: Duration = Duration::from_millis(400);
+/// Age in ms of the newest platform data up to which a node counts as connected.
+///
+/// A node without newer data may have been removed from the fleet, and another node may own its shares by then.
+const PLATFORM_DATA_AGE_MAX_MS: u64 = 3_000;
+/// Interval between two connectivity checks.
+const CONNECTIVITY_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a successful connectivity check is valid, in µs.
+const CONNECTIVITY_VALID_US: u64 = 1_200_000;
+/// Number of nodes contacted by a connectivity check; half of them must answer.
+const CONNECTIVITY_NODES: usize = 6;
+/// Timeout of a connectivity check.
+const CONNECTIVITY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why no token was had.
+/// Why no quota token was granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaRefusal {
-    /// The quota is spent; when to come back, in ms.
+    /// The quota is spent.
     Spent {
-        /// Time in ms.
+        /// Retry delay in ms.
         retry_after_ms: u64,
     },
-    /// No owner of a share answers: nobody can say whether the quota is spent.
+    /// No owner of a share answers, so it is unknown whether the quota is spent.
     NoOwner,
 }
 
-/// The right to one call.
+/// A quota token, which allows one call.
 #[derive(Debug)]
 pub struct QuotaToken {
     key: ShareKey,
-    /// The node that gave it; none for this one.
+    /// The node that granted the token; `None` for this one.
     owner: Option<SocketAddr>,
     taken_at_us: u64,
 }
@@ -77,13 +76,13 @@
 pub struct WorkspaceCounts {
     /// Calls that got a token.
     pub taken: u64,
-    /// Calls that were refused since the quota was spent.
+    /// Calls refused because the quota was spent.
     pub spent: u64,
-    /// Calls that were refused since no owner answered.
+    /// Calls refused because no owner answered.
     pub unanswered: u64,
 }
 
-/// What is needed to count quotas.
+/// Settings and collaborators of [`Quotas`].
 #[derive(Debug, Clone)]
 pub struct QuotaOptions {
     /// The node's clock.
@@ -92,48 +91,48 @@
     pub host: String,
     /// The data centre.
     pub data_centre: String,
-    /// How far quotas may be exceeded.
+    /// Bounds on how far quotas may be exceeded.
     pub bounds: QuotaBounds,
-    /// The way to other nodes.
+    /// Client for requests to other nodes.
     pub client: PeerClient,
-    /// The spreading of configuration, which tells whether this node is in touch.
+    /// The distribution of configuration, which knows the age of the platform data.
     pub spread: Arc<Spread>,
     /// The configuration in force.
     pub active: Arc<Active>,
-    /// Counts.
+    /// Event counters of the node.
     pub counters: Arc<Counters>,
 }
 
-/// A node's part in the counting of quotas.
+/// The workspace quotas at a node: shares that it owns and tokens that it requests from other owners.
 #[derive(Debug)]
 pub struct Quotas {
     options: QuotaOptions,
     owned: Mutex<OwnedShares>,
-    asked: Mutex<HashMap<String, Asked>>,
-    /// When others were reached the last time that it mattered, in µs; 0 for never.
-    touched_us: AtomicU64,
+    workspaces: Mutex<HashMap<String, WorkspaceState>>,
+    /// Time of the last successful connectivity check in µs; 0 for none.
+    connected_us: AtomicU64,
 }
 
-/// What this node knows of a workspace that calls here.
+/// State of a workspace whose callers use this node.
 #[derive(Debug, Default)]
-struct Asked {
+struct WorkspaceState {
     order: ShareOrder,
     counts: WorkspaceCounts,
 }
 
 impl Quotas {
-    /// Counts quotas from now on.
+    /// Creates the quotas of a node that has granted no tokens yet.
     pub fn new(options: QuotaOptions) -> Arc<Self> {
         let owned = OwnedShares::new(&options.host, options.clock.now_us());
         Arc::new(Self {
             options,
             owned: Mutex::new(owned),
-            asked: Mutex::default(),
-            touched_us: AtomicU64::new(0),
+            workspaces: Mutex::default(),
+            connected_us: AtomicU64::new(0),
         })
     }
 
-    /// The spreading of configuration.
+    /// Returns the distribution of configuration.
     pub fn spread(&self) -> &Spread {
         &self.options.spread
     }
@@ -142,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// Returns a [`QuotaRefusal`] if no token was granted.
     pub async fn take(
         &self,
         fleet: &Arc<Fleet>,
@@ -150,11 +149,11 @@
         quota: &Quota,
     ) -> Result<QuotaToken, QuotaRefusal> {
         let split = QuotaSplit::new(quota, &self.options.bounds);
-        let taken = self.take_from_owners(fleet, workspace, &split).await;
-        let mut asked = self.asked();
-        let counts = &mut asked.entry(workspace.to_owned()).or_default().counts;
+        let result = self.take_from_owners(fleet, workspace, &split).await;
+        let mut workspaces = self.workspaces();
+        let counts = &mut workspaces.entry(workspace.to_owned()).or_default().counts;
         let counters = &self.options.counters;
-        match &taken {
+        match &result {
             Ok(_) => counts.taken += 1,
             Err(QuotaRefusal::Spent { .. }) => {
                 counts.spent += 1;
@@ -165,23 +164,24 @@
                 count(&counters.quota_unanswered);
             }
         }
-        taken
+        result
     }
 
+    /// Requests a token from the owners of the workspace's shares, one after the other.
     async fn take_from_owners(
         &self,
         fleet: &Arc<Fleet>,
         workspace: &str,
         split: &QuotaSplit,
     ) -> Result<QuotaToken, QuotaRefusal> {
-        let listed = self.to_ask(fleet, workspace, split);
+        let owners = self.owners_in_order(fleet, workspace, split);
         let mut retry_after_us = None;
-        for state in &listed {
+        for state in &owners {
             let key = ShareKey { workspace: workspace.to_owned(), share: state.share };
-            let grant = self.ask_owner(state, &key).await;
+            let grant = self.request_token(state, &key).await;
             let now_us = self.options.clock.now_us();
             let Some(grant) = grant else {
-                self.with_order(workspace, |order| order.note_unreached(state.share, now_us));
+                self.with_owner_order(workspace, |order| order.note_unreached(state.share, now_us));
                 continue;
             };
             if grant.tokens > 0 {
@@ -189,19 +189,21 @@
                 let owner = (!is_own).then_some(state.address);
                 return Ok(QuotaToken { key, owner, taken_at_us: now_us });
             }
-            self.with_order(workspace, |order| order.note_empty(state.share, grant.retry_after_us, now_us));
+            self.with_owner_order(workspace, |order| {
+                order.note_empty(state.share, grant.retry_after_us, now_us)
+            });
             let earliest_us = retry_after_us.unwrap_or(u64::MAX);
             retry_after_us = Some(grant.retry_after_us.min(earliest_us));
         }
         let now_us = self.options.clock.now_us();
-        let known_us = self.with_order(workspace, |order| order.empty_for_us(now_us));
+        let known_us = self.with_owner_order(workspace, |order| order.empty_for_us(now_us));
         match retry_after_us.or(known_us) {
             Some(us) => Err(QuotaRefusal::Spent { retry_after_ms: us.div_ceil(1_000).max(RETRY_MIN_MS) }),
             None => Err(QuotaRefusal::NoOwner),
         }
     }
 
-    /// Gives a token back whose call did not run.
+    /// Returns the token of a call that did not run.
     pub fn give_back(&self, token: Option<&QuotaToken>) {
         let Some(token) = token else { return };
         let now_us = self.options.clock.now_us();
@@ -214,52 +216,52 @@
         };
         let client = self.options.client.clone();
         let request = PeerRequest::ReturnTokens(token.key.clone(), 1);
-        // A token that does not arrive is one call that the workspace cannot make.
-        tokio::spawn(async move { drop(timeout(OWNER_PATIENCE, client.ask(owner, &request)).await) });
+        // A return that gets lost costs the workspace one call.
+        tokio::spawn(async move { drop(timeout(OWNER_TIMEOUT, client.ask(owner, &request)).await) });
     }
 
-    /// Answers a node that asks for tokens.
+    /// Answers another node's request for tokens.
     pub fn answer_take(&self, key: &ShareKey, wanted: u32) -> PeerAnswer {
         PeerAnswer::Tokens(self.grant(key, wanted))
     }
 
-    /// Takes tokens back from another node.
+    /// Accepts tokens returned by another node.
     pub fn answer_return(&self, key: &ShareKey, tokens: u32) -> PeerAnswer {
         self.owned().give_back(key, tokens, self.options.clock.now_us());
         PeerAnswer::Noted
     }
 
-    /// Calls here of each workspace that has a quota, by full name.
+    /// Returns the calls at this node of each workspace that has a quota, by full name.
     pub fn counts(&self) -> BTreeMap<String, WorkspaceCounts> {
-        self.asked().iter().map(|(name, asked)| (name.clone(), asked.counts)).collect()
+        self.workspaces().iter().map(|(name, state)| (name.clone(), state.counts)).collect()
     }
 
-    /// The shares that this node owns and has given tokens of, with what is left.
+    /// Returns the shares from which this node has granted tokens, with the tokens left.
     pub fn levels(&self) -> Vec<(ShareKey, f64)> {
         let now_us = self.options.clock.now_us();
         self.owned().levels(now_us).map(|(key, level)| (key.clone(), level)).collect()
     }
 
-    /// Takes the list of hosts in force: who owns a share depends on how long it has been so.
+    /// Updates the ownership of shares from the fleet document in force.
     pub fn follow_fleet(&self) {
         let in_force = self.options.active.load();
         self.owned().set_fleet(&in_force.configuration.fleet, self.options.clock.now_us());
     }
 
-    /// Makes sure, while this node hears of no news, that it can reach others, until dropped.
+    /// Checks, while the platform data is outdated, that this node can reach other nodes; runs until dropped.
     pub async fn watch_touch(&self) {
         loop {
-            sleep(TOUCH_INTERVAL).await;
+            sleep(CONNECTIVITY_INTERVAL).await;
             let owns_any = self.owned().levels(0).next().is_some();
-            if owns_any && !self.has_news() && self.reaches_others().await {
-                self.touched_us.store(self.options.clock.now_us(), Ordering::Relaxed);
+            if owns_any && !self.has_fresh_platform_data() && self.reaches_others().await {
+                self.connected_us.store(self.options.clock.now_us(), Ordering::Relaxed);
             }
         }
     }
 
-    /// Gives out tokens of a share that this node owns; none when another one may own it.
+    /// Grants tokens of a share that this node owns; `None` if another node may own it.
     fn grant(&self, key: &ShareKey, wanted: u32) -> Option<Grant> {
-        if !self.is_in_touch() {
+        if !self.is_connected() {
             return None;
         }
         let in_force = self.options.active.load();
@@ -275,73 +277,81 @@
         owned.take(key, &split, wanted, now_us)
     }
 
-    async fn ask_owner(&self, state: &ShareState, key: &ShareKey) -> Option<Grant> {
+    /// Requests one token of a share from its owner; `None` if it does not answer or does not own the share.
+    async fn request_token(&self, state: &ShareState, key: &ShareKey) -> Option<Grant> {
         if state.host == self.options.host {
             return self.grant(key, 1);
         }
         let request = PeerRequest::TakeTokens(key.clone(), 1);
-        let asked = self.options.client.ask(state.address, &request);
-        match timeout(OWNER_PATIENCE, asked).await {
+        let answer = self.options.client.ask(state.address, &request);
+        match timeout(OWNER_TIMEOUT, answer).await {
             Ok(Ok(PeerAnswer::Tokens(grant))) => grant,
             Ok(Ok(_)) => None,
             Ok(Err(error)) => {
-                log::debug!("{}, share {}: {error}", key.workspace, key.share);
+                log::debug!(
+                    "quota of workspace {}, share {}: request for a token failed: {error}",
+                    key.workspace,
+                    key.share
+                );
                 None
             }
             Err(_) => None,
         }
     }
 
-    fn to_ask(&self, fleet: &Arc<Fleet>, workspace: &str, split: &QuotaSplit) -> Vec<ShareState> {
+    /// Returns the share owners to request a token from, in order.
+    fn owners_in_order(&self, fleet: &Arc<Fleet>, workspace: &str, split: &QuotaSplit) -> Vec<ShareState> {
         let now_us = self.options.clock.now_us();
         let data_centre = &self.options.data_centre;
-        self.with_order(workspace, |order| {
+        self.with_owner_order(workspace, |order| {
             order.set_fleet(fleet, workspace, split.shares, data_centre);
             order.to_ask(now_us)
         })
     }
 
-    fn with_order<T>(&self, workspace: &str, change: impl FnOnce(&mut ShareOrder) -> T) -> T {
-        let mut asked = self.asked();
-        change(&mut asked.entry(workspace.to_owned()).or_default().order)
+    fn with_owner_order<T>(&self, workspace: &str, change: impl FnOnce(&mut ShareOrder) -> T) -> T {
+        let mut workspaces = self.workspaces();
+        change(&mut workspaces.entry(workspace.to_owned()).or_default().order)
     }
 
-    fn is_in_touch(&self) -> bool {
-        let touched_us = self.touched_us.load(Ordering::Relaxed);
-        self.has_news() || touched_us + TOUCH_MAX_US > self.options.clock.now_us()
+    /// Whether the platform data is fresh or the last connectivity check succeeded recently.
+    fn is_connected(&self) -> bool {
+        let connected_us = self.connected_us.load(Ordering::Relaxed);
+        self.has_fresh_platform_data() || connected_us + CONNECTIVITY_VALID_US > self.options.clock.now_us()
     }
 
-    fn has_news(&self) -> bool {
-        self.options.spread.platform_read_age_ms() <= NEWS_AGE_MAX_MS
+    fn has_fresh_platform_data(&self) -> bool {
+        self.options.spread.platform_read_age_ms() <= PLATFORM_DATA_AGE_MAX_MS
     }
 
-    /// Whether half of some other nodes answer: those of other data centres, since a data centre is cut off as a whole.
+    /// Whether half of a sample of other nodes answer. The sample is taken from other data centres if there are any,
+    /// since a data centre loses its connection as a whole.
     async fn reaches_others(&self) -> bool {
         let fleet = self.options.active.load().configuration.fleet.clone();
         let others = fleet.hosts.iter().filter(|host| host.name != self.options.host);
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (same_data_centre, elsewhere): (Vec<_>, Vec<_>) =
             others.partition(|host| host.data_centre == self.options.data_centre);
-        let others = if far.is_empty() { near } else { far };
-        let drawn = others.sample(&mut rand::rng(), TOUCH_NODES).map(|host| host.node_address);
-        let drawn = drawn.collect::<Vec<_>>();
-        let mut asked = JoinSet::new();
-        for address in &drawn {
+        let others = if elsewhere.is_empty() { same_data_centre } else { elsewhere };
+        let sampled = others.sample(&mut rand::rng(), CONNECTIVITY_NODES).map(|host| host.node_address);
+        let sampled = sampled.collect::<Vec<_>>();
+        let mut requests = JoinSet::new();
+        for address in &sampled {
             let (client, address) = (self.options.client.clone(), *address);
-            asked.spawn(async move {
-                timeout(TOUCH_PATIENCE, client.ask(address, &PeerRequest::CanRead))
+            requests.spawn(async move {
+                timeout(CONNECTIVITY_TIMEOUT, client.ask(address, &PeerRequest::CanRead))
                     .await
                     .is_ok_and(|a| a.is_ok())
             });
         }
-        let answered = asked.join_all().await.into_iter().filter(|is_answered| *is_answered).count();
-        2 * answered >= drawn.len()
+        let answered = requests.join_all().await.into_iter().filter(|is_answered| *is_answered).count();
+        2 * answered >= sampled.len()
     }
 
     fn owned(&self) -> MutexGuard<'_, OwnedShares> {
         self.owned.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn asked(&self) -> MutexGuard<'_, HashMap<String, Asked>> {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner)
+    fn workspaces(&self) -> MutexGuard<'_, HashMap<String, WorkspaceState>> {
+        self.workspaces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/laurelstall_node/src/running_requests.rs
+++ b/crates/laurelstall_node/src/running_requests.rs
@@ -1,42 +1,42 @@
-//! The requests that run at the own target now, so that calls which it makes for them are known.
+//! Tracks the requests running at this host's own target, so that the nested calls it makes for them are recognised.
 
 use std::{
     collections::HashMap,
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Ids of the requests that run at the own target, as its callers gave them.
+/// Requests running at this host's own target, by the request IDs that their callers chose.
 #[derive(Debug, Default)]
 pub struct RunningRequests {
     runs: Mutex<HashMap<String, Runs>>,
 }
 
-/// The runs of one id.
+/// The runs of one request ID.
 #[derive(Debug, Clone, Default)]
 struct Runs {
-    /// More than one when a request was repeated.
+    /// Number of concurrent runs; more than one if the request was repeated.
     count: u32,
-    /// What is known of the latest run.
+    /// Properties of the latest run.
     facts: RunFacts,
 }
 
-/// What is known of a run, for the calls that it makes.
+/// Properties of a run that apply to its nested calls.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RunFacts {
-    /// Until when an answer has its full worth, in µs of the node's clock.
+    /// When the latency objective expires, in µs of the node's clock.
     pub useful_until_us: u64,
-    /// Its importance.
+    /// Importance of the request.
     pub importance: u8,
     /// Whether a target may have run the request before.
     pub is_repeat: bool,
-    /// When it must be done, in µs of the node's clock; none when that is not known.
+    /// Deadline in µs of the node's clock, if known.
     pub deadline_us: Option<u64>,
-    /// Name of its workspace; empty for none.
+    /// Name of the workspace; empty if there is none.
     pub workspace: String,
 }
 
 impl RunningRequests {
-    /// Notes that a request runs, for as long as the result lives; none when it has no id.
+    /// Registers a running request until the result is dropped; `None` if the request has no ID.
     pub fn enter(self: &Arc<Self>, request_id: Option<&str>, facts: RunFacts) -> Option<RunningRequest> {
         let request_id = request_id?.to_owned();
         let mut runs = self.lock();
@@ -47,12 +47,12 @@
         Some(RunningRequest { requests: self.clone(), request_id })
     }
 
-    /// What is known of the request with this id, if it runs here.
+    /// Returns the properties of the request with this ID, if it is running.
     pub fn facts(&self, request_id: &str) -> Option<RunFacts> {
         self.lock().get(request_id).map(|runs| runs.facts.clone())
     }
 
-    fn leave(&self, request_id: &str) {
+    fn unregister(&self, request_id: &str) {
         let mut runs = self.lock();
         let Some(entry) = runs.get_mut(request_id) else { return };
         entry.count -= 1;
@@ -66,7 +66,7 @@
     }
 }
 
-/// A request that runs at the own target; it ends when this is dropped.
+/// Registration of a running request, removed when this is dropped.
 #[derive(Debug)]
 pub struct RunningRequest {
     requests: Arc<RunningRequests>,
@@ -75,6 +75,6 @@
 
 impl Drop for RunningRequest {
     fn drop(&mut self) {
-        self.requests.leave(&self.request_id);
+        self.requests.unregister(&self.request_id);
     }
 }
--- a/crates/laurelstall_node/src/services.rs
+++ b/crates/laurelstall_node/src/services.rs
@@ -1,4 +1,4 @@
-//! The services that this entry knows, each with its balancer and the way to its targets.
+//! The services called through this entry, each with its load balancer and the addresses of its targets' nodes.
 
 use crate::active::InForce;
 use laurelstall_balance::{chooser::Chooser, service_balancer::ServiceBalancer, target_view::TargetView};
@@ -14,7 +14,7 @@
     },
 };
 
-/// Makes the way to choose for each service.
+/// Creates the load-balancing strategy of a service.
 pub type ChooserFactory = Arc<dyn Fn() -> Box<dyn Chooser> + Send + Sync>;
 
 /// One service as this entry sees it.
@@ -29,18 +29,18 @@
 }
 
 impl ServiceState {
-    /// The balancer, locked; never held across a wait.
+    /// Locks the balancer; the lock must not be held across an `.await`.
     pub fn balancer(&self) -> MutexGuard<'_, ServiceBalancer> {
         self.balancer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where the node of `host` takes streams.
+    /// Returns the address at which the node of `host` accepts streams from other nodes.
     pub fn address(&self, host: &str) -> Option<SocketAddr> {
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner).get(host).copied()
     }
 
-    /// The target that a probe would tell most of, of those whose address `is_reached`: place, name,
-    /// address.
+    /// Returns index, name and node address of the target with the oldest load hint, among those whose address
+    /// `is_reached` and whose hint is at least `age_min_us` old.
     pub fn stalest(
         &self,
         now_us: u64,
@@ -57,15 +57,16 @@
         Some((index, name, self.address(&host)?))
     }
 
-    fn update(&self, in_force: &InForce, service: &Service, own: &Own, now_us: u64) {
+    /// Updates targets and addresses from the configuration in force.
+    fn update(&self, in_force: &InForce, service: &Service, location: &Own, now_us: u64) {
         let configuration = &in_force.configuration;
         let views = service.targets.iter().map(|target| {
-            let trip_us = trip_us(configuration, own, &target.host);
-            let mut view = TargetView::new(&target.name, &target.host, target.slots, trip_us, now_us);
+            let round_trip_us = round_trip_us(configuration, location, &target.host);
+            let mut view = TargetView::new(&target.name, &target.host, target.slots, round_trip_us, now_us);
             view.started_unix_ms = target.started_unix_ms;
             let host = configuration.host(&target.host);
             view.data_centre = host.map(|host| host.data_centre.clone()).unwrap_or_default();
-            let is_far = host.is_some_and(|host| host.data_centre != own.data_centre);
+            let is_far = host.is_some_and(|host| host.data_centre != location.data_centre);
             view.change_percent = if is_far { configuration.system.data_centre_change_percent } else { 0 };
             view.is_live = host.is_some_and(|host| configuration.fleet.takes_calls(host));
             view
@@ -84,29 +85,30 @@
     }
 }
 
-/// Who this entry is.
+/// Host and data centre of this entry.
 #[derive(Debug, Clone)]
 pub struct Own {
-    /// Its host's name.
+    /// Name of the host.
     pub host: String,
-    /// Its data centre.
+    /// Name of the data centre.
     pub data_centre: String,
 }
 
-fn trip_us(configuration: &Configuration, own: &Own, host: &str) -> u64 {
-    if host == own.host {
+/// Returns the expected network round trip to a host in µs.
+fn round_trip_us(configuration: &Configuration, location: &Own, host: &str) -> u64 {
+    if host == location.host {
         return 0;
     }
     let data_centre = configuration.host(host).map_or("", |host| &host.data_centre);
-    2 * configuration.system.distance_us(&own.data_centre, data_centre) + HOP_US
+    2 * configuration.system.distance_us(&location.data_centre, data_centre) + HOP_US
 }
 
-/// Cost of the hop between two nodes of one data centre in µs, there and back.
+/// Round trip between two nodes of one data centre in µs.
 const HOP_US: u64 = 100;
 
-/// All services that were called here.
+/// All services called through this entry.
 pub struct Services {
-    own: Own,
+    location: Own,
     clock: Clock,
     chooser: ChooserFactory,
     seed: u64,
@@ -114,12 +116,12 @@
 }
 
 impl Services {
-    /// No service yet; each gets its own chooser.
-    pub fn new(own: Own, clock: Clock, chooser: ChooserFactory, seed: u64) -> Self {
-        Self { own, clock, chooser, seed, states: Mutex::default() }
+    /// Creates an empty set of services; each service gets its own chooser.
+    pub fn new(location: Own, clock: Clock, chooser: ChooserFactory, seed: u64) -> Self {
+        Self { location, clock, chooser, seed, states: Mutex::default() }
     }
 
-    /// The service of this full name, up to date with `in_force`; none when there is none.
+    /// Returns the service of this full name, updated to `in_force`; `None` if it does not exist.
     pub fn get(&self, in_force: &InForce, full_name: &str) -> Option<Arc<ServiceState>> {
         let now_us = self.clock.now_us();
         let state = self.lock().get(full_name).cloned();
@@ -131,28 +133,31 @@
             self.lock().remove(full_name);
             return None;
         };
-        let state =
-            self.lock().entry(full_name.to_owned()).or_insert_with(|| self.fresh(full_name, service)).clone();
-        // A request that started under an older configuration must not bring it back.
+        let state = self
+            .lock()
+            .entry(full_name.to_owned())
+            .or_insert_with(|| self.new_state(full_name, service))
+            .clone();
+        // A request that started under an older configuration must not restore it.
         if state.generation.fetch_max(in_force.generation, Ordering::AcqRel) < in_force.generation {
-            state.update(in_force, service, &self.own, now_us);
+            state.update(in_force, service, &self.location, now_us);
         }
         state.used_at_us.store(now_us, Ordering::Relaxed);
         Some(state)
     }
 
-    /// Services called since `since_us`.
+    /// Returns the services called since `since_us`.
     pub fn used_since(&self, since_us: u64) -> Vec<Arc<ServiceState>> {
         let is_used = |state: &&Arc<ServiceState>| state.used_at_us.load(Ordering::Relaxed) >= since_us;
         self.lock().values().filter(is_used).cloned().collect()
     }
 
-    /// All services, for operators.
+    /// Returns all services, for the administration API.
     pub fn all(&self) -> Vec<Arc<ServiceState>> {
         self.lock().values().cloned().collect()
     }
 
-    fn fresh(&self, full_name: &str, service: &Service) -> Arc<ServiceState> {
+    fn new_state(&self, full_name: &str, service: &Service) -> Arc<ServiceState> {
         let seed = self.seed ^ xxhash_rust::xxh3::xxh3_64(full_name.as_bytes());
         Arc::new(ServiceState {
             name: full_name.to_owned(),
@@ -170,6 +175,6 @@
 
 impl fmt::Debug for Services {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Services").field("own", &self.own).finish_non_exhaustive()
+        f.debug_struct("Services").field("own", &self.location).finish_non_exhaustive()
     }
 }
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -1,4 +1,4 @@
-//! The guard of the target beside this node: admission, tickets, and the way to the target.
+//! The guard of this host's own target: admission control, tickets and forwarding of requests to the target.
 
 use crate::{
     active::{Active, InForce},
@@ -48,16 +48,18 @@
 mod listing;
 mod sending;
 
-use ends::{EndLook, WatchedRun};
+use ends::{CrashCheck, WatchedRun};
 use listing::ListedTarget;
 
-/// Queue of a guard that stands in for none at all, behind a plain balancer.
-const PLAIN_QUEUE_LENGTH: usize = 100_000;
+/// Queue length in baseline runs, which compare with a conventional load balancer and without a guard.
+const BASELINE_QUEUE_LENGTH: usize = 100_000;
 
-/// Reasons to take nothing new; any one is enough.
+/// Reasons to drain; the guard drains while any of them is set.
 #[derive(Debug, Default)]
-struct Drains {
+struct DrainReasons {
+    /// An operator asked for it.
     operator: AtomicBool,
+    /// The node is stopping.
     stopping: AtomicBool,
     /// The platform lists the host as leaving.
     leaving: AtomicBool,
@@ -74,17 +76,17 @@
     incarnation: u64,
     guard: Arc<Guard>,
     ledger: Mutex<Ledger>,
-    /// The target that the configuration lists here.
+    /// The target that the fleet document lists for this host.
     listed: Mutex<ListedTarget>,
-    /// Which instance of it stands here.
+    /// Which instance of the target is running on this host.
     identity: Mutex<TargetIdentity>,
-    /// Held by whoever asks the target who it is: the others wait for the answer.
-    asking_identity: AsyncMutex<()>,
-    /// What is at work at the target.
+    /// Serialises identity checks, so that concurrent calls share one.
+    identity_check: AsyncMutex<()>,
+    /// Requests that are running at the target, for attributing a crash to them.
     watch: Mutex<RunWatch>,
-    /// The last look whether the target has ended.
-    end_look: AsyncMutex<EndLook>,
-    drains: Drains,
+    /// The last check for a crash of the target.
+    crash_check: AsyncMutex<CrashCheck>,
+    drains: DrainReasons,
     client: Option<TargetClient>,
     dialect: Arc<dyn HeaderDialect>,
     running: Arc<RunningRequests>,
@@ -95,43 +97,44 @@
     latencies: Arc<Latencies>,
 }
 
-/// The only way to the target beside this node.
+/// Handles all attempts at this host's own target.
 #[derive(Debug, Clone)]
 pub struct TargetGuard {
     inner: Arc<Inner>,
 }
 
-/// What a [`TargetGuard`] is made of.
+/// Parts and settings of a [`TargetGuard`].
 #[derive(Debug)]
 pub struct TargetGuardOptions {
     /// The node's clock.
     pub clock: Clock,
     /// The host's name.
     pub host: String,
-    /// The target, if there is one.
+    /// Settings of the target; `None` if this host has none.
     pub settings: Option<TargetSettings>,
-    /// Whether to queue without limit and never hand back, as behind a plain balancer.
+    /// Whether this is a baseline run that imitates a conventional load balancer: the queue is nearly unlimited and queued
+    /// calls are never handed back to their entry.
     pub is_plain: bool,
-    /// Random at each start.
+    /// Random number that identifies this start of the guard.
     pub incarnation: u64,
     /// The configuration in force.
     pub active: Arc<Active>,
-    /// The budget for observing.
+    /// Spends the byte budget for load observations.
     pub observer: Arc<Observer>,
-    /// Counts.
+    /// Event counters of the node.
     pub counters: Arc<Counters>,
-    /// How long things take.
+    /// Latency histograms.
     pub latencies: Arc<Latencies>,
-    /// The header fields that the target knows.
+    /// Names and formats of header fields.
     pub dialect: Arc<dyn HeaderDialect>,
-    /// What runs at the target now.
+    /// Requests that are running at the target.
     pub running: Arc<RunningRequests>,
-    /// What is known of requests that ended targets.
+    /// Records of requests that may crash targets.
     pub crashes: Arc<CrashRegistry>,
 }
 
 impl TargetGuard {
-    /// A guard that takes nothing until a configuration lists its target.
+    /// Creates a guard that refuses all attempts until a configuration lists its target.
     pub fn new(options: TargetGuardOptions) -> Self {
         let limits = GuardLimits {
             slots: 1,
@@ -145,7 +148,7 @@
         };
         let client = options.settings.as_ref().map(TargetClient::new);
         let address_reuse_s = options.settings.as_ref().map_or(0.0, |settings| settings.address_reuse_s);
-        let first_word_until_us = options.clock.now_us() + (address_reuse_s * 1e6) as u64;
+        let identity_deadline_us = options.clock.now_us() + (address_reuse_s * 1e6) as u64;
         let inner = Inner {
             clock: options.clock,
             host: options.host,
@@ -155,11 +158,11 @@
             guard: Guard::new(limits, options.clock),
             ledger: Mutex::new(Ledger::new(options.incarnation, 0)),
             listed: Mutex::default(),
-            identity: Mutex::new(TargetIdentity::new(first_word_until_us)),
-            asking_identity: AsyncMutex::default(),
+            identity: Mutex::new(TargetIdentity::new(identity_deadline_us)),
+            identity_check: AsyncMutex::default(),
             watch: Mutex::default(),
-            end_look: AsyncMutex::default(),
-            drains: Drains::default(),
+            crash_check: AsyncMutex::default(),
+            drains: DrainReasons::default(),
             client,
             dialect: options.dialect,
             running: options.running,
@@ -172,7 +175,7 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Puts the limits of the configuration in force.
+    /// Applies the configuration in force: the state of the host, the listed target and its limits.
     pub fn update(&self) {
         let in_force = self.inner.active.load();
         self.follow_fleet(&in_force);
@@ -187,7 +190,7 @@
                 slots: target.slots,
                 slots_start_percent: 100,
                 slots_floor_percent: 100,
-                queue_length: PLAIN_QUEUE_LENGTH,
+                queue_length: BASELINE_QUEUE_LENGTH,
                 queue_wait_max_ms: 600_000,
                 cold_calls_per_s: limits.cold_calls_per_s,
                 cold_start_ms: limits.cold_start_ms,
@@ -207,24 +210,24 @@
         });
     }
 
-    /// Whether the target gets nothing new since its data centre is evacuated.
+    /// Whether the guard drains because its data centre is evacuated.
     pub fn is_evacuated(&self) -> bool {
         self.inner.drains.evacuated.load(Ordering::Relaxed)
     }
 
-    /// Starts or ends draining at an operator's wish.
+    /// Starts or ends a drain that an operator asked for.
     pub fn set_operator_drain(&self, is_draining: bool) {
         self.inner.drains.operator.store(is_draining, Ordering::Relaxed);
         self.apply_drains();
     }
 
-    /// Drains for good, for the planned stop of the node.
+    /// Starts the final drain before the node stops.
     pub fn set_stopping(&self) {
         self.inner.drains.stopping.store(true, Ordering::Relaxed);
         self.apply_drains();
     }
 
-    /// Asks the target how fast it works whenever that helps to give a slot away, until dropped.
+    /// Queries the load of the target whenever the guard needs a newer value; runs until dropped.
     pub async fn watch_pace(&self) {
         let inner = &self.inner;
         loop {
@@ -233,27 +236,27 @@
         }
     }
 
-    /// The admission behind this guard.
+    /// Returns the admission control of this guard.
     pub fn guard(&self) -> &Arc<Guard> {
         &self.inner.guard
     }
 
-    /// The guard's start.
+    /// Returns the random number that identifies this start of the guard.
     pub fn incarnation(&self) -> u64 {
         self.inner.incarnation
     }
 
-    /// How the target is now.
+    /// Returns the current load of the target.
     pub fn hint(&self) -> Hint {
         self.inner.hint()
     }
 
-    /// Tickets that are open now.
+    /// Returns the number of open tickets.
     pub fn open_tickets(&self) -> usize {
         self.inner.ledger().open()
     }
 
-    /// Gives out tickets for the own target.
+    /// Issues tickets for this host's own target.
     pub fn give_tickets(&self, request: &TicketsRequest) -> PeerAnswer {
         let in_force = self.inner.active.load();
         let own = self.inner.own_target(&in_force);
@@ -277,7 +280,11 @@
         let reasons = [&drains.operator, &drains.stopping, &drains.leaving, &drains.evacuated];
         let is_draining = reasons.iter().any(|reason| reason.load(Ordering::Relaxed));
         if self.inner.guard.is_draining() != is_draining {
-            log::info!("guard of {}: {}", self.inner.host, if is_draining { "draining" } else { "serving" });
+            log::info!(
+                "guard of host {}: {}",
+                self.inner.host,
+                if is_draining { "draining" } else { "serving" }
+            );
         }
         self.inner.guard.set_draining(is_draining);
     }
@@ -304,12 +311,13 @@
     }
 }
 
-/// When a node that knows no list yet may be called again, in µs: it gets one within some hundred ms of its start.
-/// Without this word entries that start sooner leave its target out for a second.
-const LISTLESS_PAUSE_US: u64 = 100_000;
+/// Retry delay in µs of a node that has no fleet document yet, which arrives shortly after its start.
+///
+/// Entries would otherwise exclude its target for longer.
+const NO_FLEET_RETRY_US: u64 = 100_000;
 
-/// One attempt with what was found out about it before it runs.
-pub(crate) struct Run {
+/// An attempt that has been checked but not yet admitted.
+pub(crate) struct PendingAttempt {
     head: AttemptHead,
     body: AttemptBody,
     admission: Admission,
@@ -324,23 +332,25 @@
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns the service and the target that the configuration lists for this host, if any.
     fn own_target<'a>(&self, in_force: &'a InForce) -> Option<(&'a Service, &'a Target)> {
         let service = in_force.configuration.service(&self.settings.as_ref()?.service)?;
         let target = service.targets.iter().find(|target| target.host == self.host)?;
         Some((service, target))
     }
 
+    /// Whether the attempt is meant for `target`, by its listed name or the name of the running instance.
     fn is_named(&self, target: &Target, head: &AttemptHead) -> bool {
-        let is_called = || target.name == head.target || self.identity().is_called(&head.target);
-        self.is_own_service(&head.service) && is_called()
+        let is_same_name = || target.name == head.target || self.identity().is_called(&head.target);
+        self.is_own_service(&head.service) && is_same_name()
     }
 
     fn is_own_service(&self, service: &str) -> bool {
         self.settings.as_ref().is_some_and(|settings| settings.service == service)
     }
 
-    /// Why a call that waited may not begin any more: by the configuration in force, the target that it was meant for
-    /// is not here, or has been leaving for long.
+    /// Returns why a queued call must not start any more: the configuration in force no longer lists its target
+    /// here, or the grace period of the drain is over.
     fn refusal_after_wait(&self, head: &AttemptHead) -> Option<RefusalReason> {
         let in_force = self.active.load();
         let is_named = self.own_target(&in_force).is_some_and(|(_, target)| self.is_named(target, head));
@@ -369,30 +379,31 @@
         let own = self.own_target(&in_force);
         let Some((service, _)) = own.filter(|(_, target)| self.is_named(target, &head)) else {
             let is_starting = in_force.configuration.fleet.hosts.is_empty();
-            let wait_us = if is_starting { LISTLESS_PAUSE_US } else { 0 };
-            return not_run(instance::absent(wait_us), Some(body));
+            let wait_us = if is_starting { NO_FLEET_RETRY_US } else { 0 };
+            return not_run(instance::absent_refusal(wait_us), Some(body));
         };
-        // The entry may not have heard yet that targets end under it.
-        if let Some(refusal) = self.held_back(head.digest) {
+        // The entry may not know yet that the request is quarantined.
+        if let Some(refusal) = self.quarantine_refusal(head.digest) {
             return not_run(refusal, Some(body));
         }
         let now_us = self.clock.now_us();
         if let Some(wait_us) = self.identity().refused_for_us(now_us) {
-            return not_run(instance::absent(wait_us), Some(body));
+            return not_run(instance::absent_refusal(wait_us), Some(body));
         }
         let deadline_us = now_us + head.budget_us;
         let useful_us = head.useful_us.min(head.budget_us);
         let useful_until_us = now_us + useful_us;
         let limits = service.limits;
         let ticket = head.ticket;
-        let run = Run { head, body, admission, deadline_us, useful_until_us, useful_us, limits };
+        let run = PendingAttempt { head, body, admission, deadline_us, useful_until_us, useful_us, limits };
         match ticket {
             None => self.run_once(run).await,
             Some((incarnation, number)) => self.run_ticket(run, incarnation, number).await,
         }
     }
 
-    /// Whose call it is; a workspace that is not known here, as while a configuration travels, has the usual weight.
+    /// Returns the workspace that the call's share of the slots counts for; one unknown to this node has the default
+    /// weight.
     fn sharer(&self, head: &AttemptHead) -> Sharer {
         if head.workspace.is_empty() {
             return Sharer::NOBODY;
@@ -405,7 +416,8 @@
         Sharer { id: xxhash_rust::xxh3::xxh3_64(head.workspace.as_bytes()), weight }
     }
 
-    pub(crate) async fn run_once(self: &Arc<Self>, run: Run) -> AttemptAnswer {
+    /// Admits an attempt and runs it at the target.
+    pub(crate) async fn run_once(self: &Arc<Self>, run: PendingAttempt) -> AttemptAnswer {
         let ask = Ask {
             rank: Rank::new(run.head.importance, run.head.is_return),
             sharer: self.sharer(&run.head),
@@ -417,20 +429,20 @@
             hand_backs: run.head.hand_backs,
             slow_from_percent: run.head.slow_from_percent.filter(|_| !self.is_plain),
         };
-        let asked_us = self.clock.now_us();
+        let queued_us = self.clock.now_us();
         match self.guard.admit(ask).await {
             Ok(permit) => {
                 if let Some(reason) = self.refusal_after_wait(&run.head) {
                     permit.release_uncounted();
                     return refused(reason, Some(run.body));
                 }
-                // It may have ended other targets while it waited here.
-                if let Some(refusal) = self.held_back(run.head.digest) {
+                // It may have been quarantined while it was queued here.
+                if let Some(refusal) = self.quarantine_refusal(run.head.digest) {
                     permit.release_uncounted();
                     return not_run(refusal, Some(run.body));
                 }
                 let admitted_us = self.clock.now_us();
-                observe_us(&self.latencies.waits, admitted_us - asked_us);
+                observe_us(&self.latencies.waits, admitted_us - queued_us);
                 let answer = self.send(run, permit).await;
                 observe_us(&self.latencies.runs, self.clock.now_us() - admitted_us);
                 answer
@@ -440,10 +452,10 @@
     }
 }
 
-/// A target's answer with what was held for it.
-struct Answered {
+/// A target's answer with the resources held for the request.
+struct ReceivedResponse {
     request: HeaderMap,
-    /// Name that the request was sent under.
+    /// Name of the target that the request was sent to.
     target: String,
     response: Response<Incoming>,
     connection: Option<UsedConnection>,
@@ -451,16 +463,18 @@
     run: WatchedRun,
 }
 
-/// The answer to a call whose connection broke, with what is known of its request when the target has ended.
-fn lost(why: &'static str, ended: Option<CrashNews>) -> AttemptAnswer {
-    let cause = if ended.is_some() { UnknownCause::TargetEnded } else { UnknownCause::Lost(why) };
+/// Builds the answer for a broken connection; `ended` is the crash record of the request if the target has crashed.
+fn connection_lost(reason: &'static str, ended: Option<CrashNews>) -> AttemptAnswer {
+    let cause = if ended.is_some() { UnknownCause::TargetEnded } else { UnknownCause::Lost(reason) };
     AttemptAnswer { ended, ..AttemptAnswer::new(AttemptOutcome::Unknown(cause)) }
 }
 
-pub(crate) fn unknown(why: &'static str) -> AttemptAnswer {
-    AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost(why)))
+/// Builds the answer of an attempt that may have run.
+pub(crate) fn unknown(reason: &'static str) -> AttemptAnswer {
+    AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost(reason)))
 }
 
+/// Builds the answer of an attempt that did not run, returning an unread body stream to the entry.
 pub(crate) fn refused(reason: RefusalReason, body: Option<AttemptBody>) -> AttemptAnswer {
     not_run(Refusal::new(reason), body)
 }
@@ -473,7 +487,7 @@
     answer
 }
 
-/// Waits for the guard to have nothing left to do, but no longer than `limit`.
+/// Waits up to `limit` until the guard has no running or queued calls; returns whether it got there.
 pub async fn drained(guard: &TargetGuard, limit: Duration) -> bool {
     timeout(limit, guard.guard().drained()).await.is_ok()
 }
--- a/crates/laurelstall_node/src/target_guard/answers.rs
+++ b/crates/laurelstall_node/src/target_guard/answers.rs
@@ -1,6 +1,6 @@
-//! From the target's answer to what the entry is told.
+//! Converts the target's response into the answer for the entry.
 
-use super::{Answered, Inner, ends::WatchedRun, lost, refused, unknown};
+use super::{Inner, ReceivedResponse, connection_lost, ends::WatchedRun, refused, unknown};
 use crate::{
     body::{Collected, WatchedBody, collect, whole},
     counters::count,
@@ -18,20 +18,21 @@
 use std::sync::Arc;
 use tokio::time::Duration;
 
-/// Longest answer that is read whole before it is passed on, in bytes.
-const WHOLE_ANSWER_BYTES_MAX: usize = 64 * 1024;
-/// Longest wait for the whole of a short answer; a slower one is passed on as it comes.
-const WHOLE_ANSWER_PATIENCE: Duration = Duration::from_millis(200);
+/// Size in bytes up to which a response is buffered completely before it is passed on.
+const BUFFERED_BYTES_MAX: usize = 64 * 1024;
+/// Time in which a buffered response must arrive completely; a slower one is streamed.
+const BUFFERING_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Inner {
-    /// Reads an answer whole if it is small, so that one that breaks off costs the caller nothing
-    /// but time; a longer one is passed on as it comes.
+    /// Reads the target's response and classifies it.
+    ///
+    /// A small response is buffered, so that the call can still be retried if it breaks off; a longer one is streamed.
     pub(super) async fn read_response(
         self: &Arc<Self>,
-        answered: Answered,
+        received: ReceivedResponse,
         limits: &ServiceLimits,
     ) -> AttemptAnswer {
-        let Answered { request, target, response, connection, permit, run } = answered;
+        let ReceivedResponse { request, target, response, connection, permit, run } = received;
         let (parts, body) = response.into_parts();
         let status = parts.status;
         let mut headers = parts.headers;
@@ -65,7 +66,7 @@
         }
         strip_hop_by_hop(&mut headers);
         let body = body.map_err(BodyError::from).boxed_unsync();
-        let outcome = match collect(body, WHOLE_ANSWER_BYTES_MAX, WHOLE_ANSWER_PATIENCE).await {
+        let outcome = match collect(body, BUFFERED_BYTES_MAX, BUFFERING_TIMEOUT).await {
             Ok(Collected::Whole(bytes)) => {
                 drop(permit);
                 run.note_answered();
@@ -81,13 +82,13 @@
             Err(_) => {
                 count(&self.counters.bodies_broken);
                 permit.release_uncounted();
-                return lost("answer broke off", run.note_broken(&target).await);
+                return connection_lost("answer broke off", run.note_broken(&target).await);
             }
         };
         AttemptAnswer::new(outcome)
     }
 
-    /// An answer's body that frees slot and connection when it ends.
+    /// Wraps a streamed body so that slot and connection are released when it ends.
     fn watched_body(
         &self,
         body: AnswerBody,
--- a/crates/laurelstall_node/src/target_guard/ends.rs
+++ b/crates/laurelstall_node/src/target_guard/ends.rs
@@ -1,6 +1,6 @@
-//! Finds out whether the target ended under the requests at work there.
+//! Detects whether the target crashed while requests were running there.
 //!
-//! Only the guard sees the target itself: an entry that loses an answer cannot tell a target that ended from a lost
+//! Only the guard can check the target itself: for an entry that loses an answer, a crashed target looks like a lost
 //! connection, link or node.
 
 use super::Inner;
@@ -22,40 +22,40 @@
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Looks at a target whose connection broke until it is clear whether it ended: kept connections that break as well
-/// tell nothing.
-const LOOKS_MAX: usize = 3;
-/// How long a connection is waited for where a target cannot be asked: it is on the same machine.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(20);
-/// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+/// Maximum number of checks after a broken connection; a check over a pooled connection that also breaks is
+/// inconclusive.
+const CHECKS_MAX: usize = 3;
+/// Connect timeout of the check for targets that cannot be queried; they run on the same machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
+/// Pause between two checks.
+const CHECK_PAUSE: Duration = Duration::from_millis(5);
 
-/// The last look whether the target has ended.
+/// The last check for a crash of the target.
 #[derive(Debug)]
-pub(super) struct EndLook {
-    /// When it began, in µs of the node's clock.
+pub(super) struct CrashCheck {
+    /// Start of the check, in µs of the node's clock.
     started_us: u64,
-    sign: Sign,
+    status: TargetStatus,
 }
 
-impl Default for EndLook {
+impl Default for CrashCheck {
     fn default() -> Self {
-        Self { started_us: 0, sign: Sign::Unclear }
+        Self { started_us: 0, status: TargetStatus::Unclear }
     }
 }
 
-/// What a look shows of a target whose connection broke.
+/// Result of checking a target whose connection broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Sign {
-    /// It takes no connections, or another instance stands in its place.
+enum TargetStatus {
+    /// It accepts no connections, or another instance runs in its place.
     Ended,
-    /// It answers, under its name.
-    Lives,
-    /// Neither.
+    /// It answers under the expected name.
+    Alive,
+    /// The check was inconclusive.
     Unclear,
 }
 
-/// A request that is at work at the target. Dropped without a word, it was given up.
+/// A request that is running at the target; dropping it records that the request was abandoned.
 #[derive(Debug)]
 pub(super) struct WatchedRun {
     inner: Arc<Inner>,
@@ -64,7 +64,7 @@
 }
 
 impl WatchedRun {
-    /// The target's answer came whole.
+    /// Records that the target's answer was read completely.
     pub(super) fn note_answered(mut self) {
         if let Some(id) = self.id.take() {
             self.inner.watch().note_answered(id);
@@ -72,24 +72,25 @@
         }
     }
 
-    /// It was not sent, or nothing follows from its end.
+    /// Stops tracking a request that was not sent, or whose end says nothing about the target.
     pub(super) fn forget(mut self) {
         if let Some(id) = self.id.take() {
             self.inner.watch().forget(id);
         }
     }
 
-    /// Its connection broke before the answer was whole; what is known of the request when the target has ended.
+    /// Records that the connection broke before the answer was complete. Returns the crash record of the request if the
+    /// target has crashed.
     pub(super) async fn note_broken(mut self, target: &str) -> Option<CrashNews> {
         let id = self.id.take()?;
         let inner = &self.inner;
         let broken_us = inner.clock.now_us();
-        // Asked now: when the look is over, the list may name the next instance.
+        // Read before the check, after which the fleet document may already list the next instance.
         let was_leaving = inner.is_leaving(target);
         inner.watch().note_broken(id, broken_us);
-        let has_ended = inner.has_ended(target, broken_us, was_leaving).await;
-        // What ended as it was to is known of no request.
-        has_ended.then(|| inner.crashes.news_of(self.digest)).flatten()
+        let has_crashed = inner.has_crashed(target, broken_us, was_leaving).await;
+        // A planned stop leaves no crash record.
+        has_crashed.then(|| inner.crashes.news_of(self.digest)).flatten()
     }
 }
 
@@ -107,83 +108,84 @@
         self.watch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a request is being sent to the target.
+    /// Starts tracking a request that is about to be sent to the target.
     pub(super) fn watch_run(self: &Arc<Self>, digest: RequestDigest) -> WatchedRun {
         let id = self.watch().start(digest, self.clock.now_us());
         WatchedRun { inner: self.clone(), id: Some(id), digest }
     }
 
-    /// Whether the target called `target`, one of whose connections broke at `broken_us`, has ended.
+    /// Whether the target named `target`, one of whose connections broke at `broken_us`, has crashed.
     ///
-    /// All its connections break together: one look serves all that broke before it began.
-    async fn has_ended(&self, target: &str, broken_us: u64, was_leaving: bool) -> bool {
-        let mut last = self.end_look.lock().await;
+    /// A crash breaks all connections at once, so one check serves all that broke before it started.
+    async fn has_crashed(&self, target: &str, broken_us: u64, was_leaving: bool) -> bool {
+        let mut last = self.crash_check.lock().await;
         if last.started_us < broken_us {
             last.started_us = self.clock.now_us();
-            last.sign = self.look_for_end(target).await;
+            last.status = self.check_target(target).await;
         }
-        let sign = last.sign;
+        let status = last.status;
         drop(last);
-        match sign {
-            Sign::Ended => {
+        match status {
+            TargetStatus::Ended => {
                 let ended = self.watch().note_ended(broken_us);
-                self.report_end(target, &ended, was_leaving);
+                self.report_crash(target, &ended, was_leaving);
             }
-            Sign::Lives => self.watch().note_survived(),
-            Sign::Unclear => self.watch().note_unclear(broken_us),
+            TargetStatus::Alive => self.watch().note_survived(),
+            TargetStatus::Unclear => self.watch().note_unclear(broken_us),
         }
-        sign == Sign::Ended
+        status == TargetStatus::Ended
     }
 
-    /// Notes that the target took no connection: runs that were lost just before may have ended it.
+    /// Records that the target accepted no connection; requests lost just before may have crashed it.
     pub(super) async fn note_no_connection(&self, target: &str) {
         let now_us = self.clock.now_us();
         if self.watch().has_lost_runs(now_us) {
             let was_leaving = self.is_leaving(target);
-            self.has_ended(target, now_us, was_leaving).await;
+            self.has_crashed(target, now_us, was_leaving).await;
         }
     }
 
-    async fn look_for_end(&self, target: &str) -> Sign {
-        for _ in 0..LOOKS_MAX {
+    /// Checks the target until the result is conclusive, at most [`CHECKS_MAX`] times.
+    async fn check_target(&self, target: &str) -> TargetStatus {
+        for _ in 0..CHECKS_MAX {
             count(&self.counters.end_looks);
-            match self.sign(target).await {
-                Sign::Unclear => sleep(LOOK_PAUSE).await,
-                clear => return clear,
+            match self.target_status(target).await {
+                TargetStatus::Unclear => sleep(CHECK_PAUSE).await,
+                conclusive => return conclusive,
             }
         }
-        Sign::Unclear
+        TargetStatus::Unclear
     }
 
-    async fn sign(&self, target: &str) -> Sign {
+    async fn target_status(&self, target: &str) -> TargetStatus {
         if !self.guard.can_look() {
-            return self.connection_sign().await;
+            return self.connect_status().await;
         }
         match self.report().await {
-            Err(TargetError::NoConnection) => Sign::Ended,
-            Err(TargetError::Broken) => Sign::Unclear,
+            Err(TargetError::NoConnection) => TargetStatus::Ended,
+            Err(TargetError::Broken) => TargetStatus::Unclear,
             Ok(report) => match report.instance {
-                Some(instance) if instance == target => Sign::Lives,
-                Some(_) => Sign::Ended,
-                None if report.load.is_some() => Sign::Lives,
-                None => Sign::Unclear,
+                Some(instance) if instance == target => TargetStatus::Alive,
+                Some(_) => TargetStatus::Ended,
+                None if report.load.is_some() => TargetStatus::Alive,
+                None => TargetStatus::Unclear,
             },
         }
     }
 
-    /// What a new connection shows of a target that cannot be asked how it is.
-    async fn connection_sign(&self) -> Sign {
-        let Some(settings) = &self.settings else { return Sign::Unclear };
-        match timeout(CONNECT_PATIENCE, TcpStream::connect(settings.address)).await {
-            Ok(Ok(_)) => Sign::Lives,
-            Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Sign::Ended,
-            _ => Sign::Unclear,
+    /// Checks a target that cannot be queried by opening a connection.
+    async fn connect_status(&self) -> TargetStatus {
+        let Some(settings) = &self.settings else { return TargetStatus::Unclear };
+        match timeout(CONNECT_TIMEOUT, TcpStream::connect(settings.address)).await {
+            Ok(Ok(_)) => TargetStatus::Alive,
+            Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => TargetStatus::Ended,
+            _ => TargetStatus::Unclear,
         }
     }
 
-    /// Tells of an end. What ends while it leaves, or is not listed any more, was meant to end: nothing speaks
-    /// against the requests that were cut off there.
-    fn report_end(&self, target: &str, ended: &EndedRuns, was_leaving: bool) {
+    /// Logs and counts the end of a target and records it as a crash, unless the target was leaving or no longer
+    /// listed: a planned stop is not attributed to the requests that it interrupted.
+    fn report_crash(&self, target: &str, ended: &EndedRuns, was_leaving: bool) {
         if ended.is_first {
             count(&self.counters.target_ends);
         }
@@ -192,21 +194,23 @@
         }
         let digests = ended.digests.iter().map(RequestDigest::to_string).collect::<Vec<_>>().join(" ");
         if was_leaving {
-            log::info!("own target: '{target}' ended, as it was to, with these requests at work: {digests}");
+            log::info!(
+                "own target: '{target}' stopped as planned while these requests were running: {digests}"
+            );
             return;
         }
-        log::warn!("own target: '{target}' ended while these requests were at work there: {digests}");
+        log::warn!("own target: '{target}' crashed while these requests were running: {digests}");
         let service = self.settings.as_ref().map_or("", |settings| &settings.service);
-        self.crashes.note_end(self.end_id(target, ended.end), service, &ended.digests);
+        self.crashes.note_end(self.crash_id(target, ended.end), service, &ended.digests);
     }
 
-    /// A number that all nodes know the end by, and no other end has.
-    fn end_id(&self, target: &str, end: u64) -> u64 {
+    /// Returns the number that identifies the crash on all nodes.
+    fn crash_id(&self, target: &str, end: u64) -> u64 {
         xxh3_64_with_seed(format!("{target} {end}").as_bytes(), self.incarnation)
     }
 
-    /// The refusal of a request that is held back since targets end under it.
-    pub(super) fn held_back(&self, digest: RequestDigest) -> Option<Refusal> {
+    /// Returns the refusal of a quarantined request; `None` if the request may run.
+    pub(super) fn quarantine_refusal(&self, digest: RequestDigest) -> Option<Refusal> {
         let Verdict::Held { retry_after_ms } = self.crashes.verdict(digest) else { return None };
         Some(
             Refusal::new(RefusalReason::Held)
@@ -214,7 +218,7 @@
         )
     }
 
-    /// Whether the target called `target` is about to leave, or gone from the list.
+    /// Whether the target named `target` is draining or no longer listed.
     fn is_leaving(&self, target: &str) -> bool {
         let in_force = self.active.load();
         let is_listed = self.own_target(&in_force).is_some_and(|(_, own)| own.name == target);
--- a/crates/laurelstall_node/src/target_guard/listing.rs
+++ b/crates/laurelstall_node/src/target_guard/listing.rs
@@ -1,23 +1,23 @@
-//! What the list says of the target beside this node, and what the guard does when that changes.
+//! Applies changes in the fleet document that concern this host and its own target.
 
 use super::TargetGuard;
 use crate::active::InForce;
 use laurelstall_config::{document::DocumentName, fleet::HostState};
 use std::sync::{PoisonError, atomic::Ordering};
 
-/// The target beside a node, as it is listed.
+/// This host's own target as listed in the fleet document.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct ListedTarget {
-    /// Its name; empty for none.
+    /// Name of the target; empty if none is listed.
     name: String,
-    /// How much longer it is cold, in ms, when its entry was written.
+    /// Remaining cold start in ms at the time when the entry was written.
     cold_ms: u64,
-    /// When it started, in ms of Unix time by its own clock; 0 when it does not say.
+    /// Start of the target in ms of Unix time by its own clock; 0 if unknown.
     started_unix_ms: u64,
 }
 
 impl ListedTarget {
-    /// Whether this is another start of the target that was listed before, under the same name.
+    /// Whether this is a restart of the target `before`, under the same name.
     fn is_restart_of(&self, before: &Self) -> bool {
         let is_known = self.started_unix_ms != 0 && before.started_unix_ms != 0;
         self.name == before.name && is_known && self.started_unix_ms != before.started_unix_ms
@@ -25,7 +25,7 @@
 }
 
 impl TargetGuard {
-    /// Takes nothing new while the host leaves or its data centre is evacuated: entries may know it later.
+    /// Drains while the host is leaving or its data centre is evacuated; entries may learn of it later.
     pub(super) fn follow_fleet(&self, in_force: &InForce) {
         let fleet = &in_force.configuration.fleet;
         let host = fleet.host(&self.inner.host);
@@ -33,20 +33,19 @@
         let is_evacuated = host.is_some_and(|host| fleet.is_evacuated(&host.data_centre));
         if !self.inner.drains.leaving.swap(is_leaving, Ordering::Relaxed) && is_leaving {
             let version = in_force.configuration.version(&DocumentName::Fleet);
-            log::info!("own host: leaving, by version {version} of the fleet");
+            log::info!("own host: leaving, according to version {version} of the fleet document");
         }
         let was_evacuated = self.inner.drains.evacuated.swap(is_evacuated, Ordering::Relaxed);
         if was_evacuated != is_evacuated {
-            let state = if is_evacuated { "evacuated" } else { "taken back" };
+            let state = if is_evacuated { "evacuated" } else { "no longer evacuated" };
             log::info!("own data centre is {state}");
-            // It may have turned cold while it got nothing.
+            // The target may have become cold while it received no calls.
             self.inner.guard.forget_cold();
         }
         self.apply_drains();
     }
 
-    /// Writes down when the list names another target beside this node, or none any more, and learns from it that the
-    /// target is cold.
+    /// Updates the listed target of this host, and with it the cold start and the expected instance name.
     pub(super) fn note_own_target(&self, name: Option<&str>, in_force: &InForce) {
         let name = name.unwrap_or_default();
         let fleet = &in_force.configuration.fleet;
@@ -69,15 +68,18 @@
             return;
         }
         let version = in_force.configuration.version(&DocumentName::Fleet);
-        log::info!("own target: '{name}' after '{}', by version {version} of the fleet", before.name);
+        log::info!(
+            "own target: '{name}' replaces '{}' in version {version} of the fleet document",
+            before.name
+        );
         self.inner.guard.forget_cold();
         self.inner.identity().follow_list(name);
     }
 
-    /// Learns from the list that the target started again under its name: it knows nothing of before. What its tickets'
-    /// calls may have done stays in the ledger, which holds them to one effect.
+    /// Resets what is known of the target after a restart under the same name. The ticket ledger is kept, so that the
+    /// calls of its tickets still run at most once.
     fn note_restart(&self, name: &str, started_unix_ms: u64) {
-        log::info!("own target: '{name}' started again, at {started_unix_ms} ms of its clock");
+        log::info!("own target: '{name}' restarted at Unix time {started_unix_ms} ms of its own clock");
         self.inner.guard.forget_cold();
         self.inner.identity().forget_word();
         if let Some(client) = &self.inner.client {
--- a/crates/laurelstall_node/src/target_guard/sending.rs
+++ b/crates/laurelstall_node/src/target_guard/sending.rs
@@ -1,6 +1,6 @@
-//! Sending a request that has its slot to the target.
+//! Sends an admitted request to the target.
 
-use super::{Answered, Inner, Run, lost, not_run, refused, unknown};
+use super::{Inner, PendingAttempt, ReceivedResponse, connection_lost, not_run, refused, unknown};
 use crate::{
     body::{Collected, collect},
     counters::count,
@@ -22,16 +22,16 @@
 use std::sync::Arc;
 use tokio::time::{Duration, timeout_at};
 
-/// Longest body that comes with the word to go, in bytes: as much as an entry may keep of one.
+/// Maximum size in bytes of a body sent after admission; matches the replay buffer of an entry.
 const GO_BYTES_MAX: usize = 1024 * 1024;
-/// Longest that a reserved slot waits for the word to go.
+/// Longest time that a reserved slot waits for the body.
 const GO_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request on its way to the target, with what is held for it.
-struct HandOver {
+/// A request ready for the target, with the resources held for it.
+struct PreparedRequest {
     request: Request<AnswerBody>,
     headers: HeaderMap,
-    /// Name that the request is sent under.
+    /// Name of the target that the request is sent to.
     target: String,
     digest: RequestDigest,
     may_repeat: bool,
@@ -42,8 +42,9 @@
 }
 
 impl Inner {
-    pub(super) async fn send(self: &Arc<Self>, run: Run, permit: Permit) -> AttemptAnswer {
-        let Run { head, body, mut admission, deadline_us, useful_until_us, limits, .. } = run;
+    /// Prepares an admitted attempt and runs it at the target.
+    pub(super) async fn send(self: &Arc<Self>, run: PendingAttempt, permit: Permit) -> AttemptAnswer {
+        let PendingAttempt { head, body, mut admission, deadline_us, useful_until_us, limits, .. } = run;
         let now_us = self.clock.now_us();
         if now_us >= deadline_us {
             permit.release_uncounted();
@@ -68,7 +69,7 @@
         self.dialect.write_attempt(&mut headers, &AttemptFacts { budget_ms, target: &target });
         admission.grant();
         let body = match body {
-            AttemptBody::Stream(body) if head.body == BodyKind::OnGo => match wait_for_go(body).await {
+            AttemptBody::Stream(body) if head.body == BodyKind::OnGo => match receive_body(body).await {
                 Some(bytes) => AttemptBody::Whole(bytes),
                 None => {
                     permit.release_uncounted();
@@ -77,7 +78,7 @@
             },
             body => body,
         };
-        // It may have left while the call waited for its name and for the body.
+        // The target may have left while the call waited for the target's name or the body.
         if let Some(reason) = self.refusal_after_wait(&head) {
             permit.release_uncounted();
             return refused(reason, Some(body));
@@ -94,7 +95,7 @@
             deadline_us: Some(deadline_us),
             workspace: head.workspace,
         };
-        let handed = HandOver {
+        let prepared = PreparedRequest {
             request,
             headers,
             target,
@@ -105,23 +106,33 @@
             limits,
             permit,
         };
-        self.run_at_target(handed).await
+        self.run_at_target(prepared).await
     }
 
-    /// Runs a request at the target. One that may not be repeated runs to its end though its caller leaves:
-    /// broken off half-way, its effect would be neither there nor surely not there.
-    async fn run_at_target(self: &Arc<Self>, handed: HandOver) -> AttemptAnswer {
-        if handed.may_repeat {
-            return self.hand_over(handed).await;
+    /// Runs a request at the target. One that must not be repeated runs to its end even if its caller leaves, since
+    /// cancelling it would leave its effect unknown.
+    async fn run_at_target(self: &Arc<Self>, prepared: PreparedRequest) -> AttemptAnswer {
+        if prepared.may_repeat {
+            return self.exchange(prepared).await;
         }
         let this = self.clone();
-        let running = tokio::spawn(async move { this.hand_over(handed).await });
+        let running = tokio::spawn(async move { this.exchange(prepared).await });
         running.await.unwrap_or_else(|_| unknown("the run broke off"))
     }
 
-    async fn hand_over(self: &Arc<Self>, handed: HandOver) -> AttemptAnswer {
-        let HandOver { request, headers, target, digest, may_repeat, deadline_us, facts, limits, mut permit } =
-            handed;
+    /// Sends the request, reads the response and releases what was held.
+    async fn exchange(self: &Arc<Self>, prepared: PreparedRequest) -> AttemptAnswer {
+        let PreparedRequest {
+            request,
+            headers,
+            target,
+            digest,
+            may_repeat,
+            deadline_us,
+            facts,
+            limits,
+            mut permit,
+        } = prepared;
         let Some(client) = &self.client else {
             permit.release_uncounted();
             return refused(RefusalReason::OtherTarget, None);
@@ -131,7 +142,7 @@
         let run = self.watch_run(digest);
         if let Some(draining_us) = self.guard.draining_for_us() {
             count(&self.counters.late_starts);
-            log::info!("own target: a call begins {} ms after the guard began to drain", draining_us / 1_000);
+            log::info!("own target: a call starts {} ms after the guard began to drain", draining_us / 1_000);
         }
         permit.note_sent();
         let sent = timeout_at(deadline, client.send(request, may_repeat)).await;
@@ -141,8 +152,9 @@
         match sent {
             Err(_) => unknown("time budget spent at the target"),
             Ok(Ok((response, connection))) => {
-                let answered = Answered { request: headers, target, response, connection, permit, run };
-                let read = timeout_at(deadline, self.read_response(answered, &limits)).await;
+                let received =
+                    ReceivedResponse { request: headers, target, response, connection, permit, run };
+                let read = timeout_at(deadline, self.read_response(received, &limits)).await;
                 read.unwrap_or_else(|_| unknown("time budget spent at the target"))
             }
             Ok(Err(TargetError::NoConnection)) => {
@@ -150,21 +162,21 @@
                 run.forget();
                 self.note_no_connection(&target).await;
                 self.guard.note_shed();
-                // Whoever takes connections there next has just started.
+                // The next instance to accept connections has just started.
                 self.guard.forget_cold();
                 refused(RefusalReason::NoConnection, None)
             }
             Ok(Err(TargetError::Broken)) => {
                 permit.release_uncounted();
                 self.guard.forget_cold();
-                lost("connection to the target broke", run.note_broken(&target).await)
+                connection_lost("connection to the target broke", run.note_broken(&target).await)
             }
         }
     }
 }
 
-/// The body that is the entry's word to go; none when the entry is gone, or the way to it.
-async fn wait_for_go(body: AnswerBody) -> Option<Bytes> {
+/// Receives the body that the entry sends after admission; `None` when the entry or the connection to it is gone.
+async fn receive_body(body: AnswerBody) -> Option<Bytes> {
     match collect(body, GO_BYTES_MAX, GO_TIMEOUT).await {
         Ok(Collected::Whole(bytes)) => Some(bytes),
         Ok(Collected::Partial(_)) | Err(_) => None,
--- a/crates/laurelstall_node/src/target_http.rs
+++ b/crates/laurelstall_node/src/target_http.rs
@@ -1,4 +1,4 @@
-//! HTTP towards the target beside this node.
+//! HTTP client for this host's own target.
 
 use crate::{
     body::{empty, whole},
@@ -15,31 +15,31 @@
 use std::sync::Arc;
 use tokio::time::Duration;
 
-/// Idle HTTP/2 connections to the target that are kept.
+/// Maximum number of idle HTTP/2 connections to the target.
 const TARGET_IDLE_MAX: usize = 4;
-/// An idle HTTP/2 connection to the target is closed after so long.
+/// Time after which an idle HTTP/2 connection to the target is closed.
 const TARGET_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why the target gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetError {
-    /// No connection: it has seen nothing.
+    /// No connection could be opened, so the target has not received the request.
     NoConnection,
-    /// The connection broke: it may have run the request.
+    /// The connection broke; the target may have run the request.
     Broken,
 }
 
-/// The way to the target, in the HTTP version that it speaks.
+/// Client for the target, in the HTTP version that it supports.
 #[derive(Debug)]
 pub enum TargetClient {
     /// HTTP/1.1.
     Http1(Arc<TargetPool>),
-    /// HTTP/2 without TLS.
+    /// HTTP/2 without TLS (h2c).
     Http2(Box<Client<HttpConnector, AnswerBody>>),
 }
 
 impl TargetClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(settings: &TargetSettings) -> Self {
         let connect_timeout = Duration::from_millis(settings.connect_timeout_ms);
         match settings.http {
@@ -48,20 +48,20 @@
         }
     }
 
-    /// Closes connections that rest, to a target that has started again.
+    /// Closes idle connections, for use after a restart of the target.
     pub fn close_idle(&self) {
         match self {
             Self::Http1(pool) => pool.clear(),
-            // Its library finds closed ones out before it uses them.
+            // The HTTP/2 client detects closed connections before it uses them.
             Self::Http2(_) => {}
         }
     }
 
-    /// Sends a request; with HTTP/1.1, also the connection to give back once the answer was read.
+    /// Sends a request. With HTTP/1.1, also returns the connection to give back after the answer has been read.
     ///
     /// # Errors
     ///
-    /// [`TargetError`]; only one of its values proves that nothing ran.
+    /// Returns a [`TargetError`]; only [`TargetError::NoConnection`] proves that nothing ran.
     pub async fn send(
         &self,
         request: Request<AnswerBody>,
@@ -95,7 +95,7 @@
     builder.build(connector)
 }
 
-/// The request that the target gets; none when method or path are no HTTP.
+/// Builds the request for the target; `None` if the method or the path is invalid.
 pub fn target_request(
     settings: &TargetSettings,
     method: &str,
--- a/crates/laurelstall_node/src/target_pool.rs
+++ b/crates/laurelstall_node/src/target_pool.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 connections to the target beside this node.
+//! Pool of HTTP/1.1 connections to this host's own target.
 //!
-//! A request that may not be repeated is lost when its connection turns out to be closed, so it
-//! is sent on a connection that was used a moment ago, or on a new one.
+//! A request that must not be repeated is lost if its connection turns out to be closed, so it is sent only on a
+//! recently used connection or a new one.
 
 use hyper::{
     Request, Response,
@@ -22,23 +22,23 @@
     time::{Duration, Instant, timeout},
 };
 
-/// Idle connections that are kept.
+/// Maximum number of idle connections.
 const IDLE_MAX: usize = 64;
-/// Longest rest of a connection that a repeatable request is sent on.
-const REST_MAX: Duration = Duration::from_secs(4);
-/// Longest rest of a connection that any other request is sent on.
-const REST_UNREPEATABLE_MAX: Duration = Duration::from_millis(500);
+/// Maximum idle time of a connection for requests that may be repeated.
+const IDLE_TIME_MAX: Duration = Duration::from_secs(4);
+/// Maximum idle time of a connection for requests that must not be repeated.
+const IDLE_TIME_UNREPEATABLE_MAX: Duration = Duration::from_millis(500);
 
 quick_error! {
-    /// A request that got no answer.
+    /// Why a request got no answer.
     #[derive(Debug)]
     pub enum PoolError {
-        /// No connection could be opened: the target has seen nothing.
+        /// No connection could be opened, so the target has not received the request.
         Connect(error: io::Error) {
             display("connect: {error}")
             source(error)
         }
-        /// The connection broke: the target may have run the request.
+        /// The connection broke; the target may have run the request.
         Broken(error: hyper::Error) {
             display("{error}")
             source(error)
@@ -50,11 +50,11 @@
 struct IdleConnection {
     sender: SendRequest<AnswerBody>,
     since: Instant,
-    /// How long the machine had been suspended by then, in µs: the target closes what rests for long meanwhile.
+    /// Total time in µs that the machine had been suspended by then; a later suspension makes the connection unusable.
     suspended_us: u64,
 }
 
-/// A pool that hands out the connection used last first.
+/// A connection pool that reuses the most recently used connection first.
 #[derive(Debug)]
 pub struct TargetPool {
     address: SocketAddr,
@@ -62,7 +62,7 @@
     idle: Mutex<Vec<IdleConnection>>,
 }
 
-/// A connection that carried a request; give it back once the answer was read whole.
+/// A connection that carries a request; it is given back after the answer has been read completely.
 ///
 /// Dropping it closes the connection.
 #[derive(Debug)]
@@ -72,7 +72,7 @@
 }
 
 impl UsedConnection {
-    /// Keeps the connection for a later request.
+    /// Returns the connection to the pool.
     pub fn give_back(self) {
         let mut idle = self.pool.lock();
         if idle.len() >= IDLE_MAX {
@@ -84,23 +84,23 @@
 }
 
 impl TargetPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(address: SocketAddr, connect_timeout: Duration) -> Arc<Self> {
         Arc::new(Self { address, connect_timeout, idle: Mutex::default() })
     }
 
-    /// Sends a request, on a new connection if no kept one is fit for it.
+    /// Sends a request, on a new connection if no idle one is suitable.
     ///
     /// # Errors
     ///
-    /// [`PoolError::Connect`] when the target has seen nothing of it.
+    /// Returns [`PoolError::Connect`] if no connection could be opened, [`PoolError::Broken`] if the connection broke.
     pub async fn send(
         self: &Arc<Self>,
         mut request: Request<AnswerBody>,
         may_repeat: bool,
     ) -> Result<(Response<Incoming>, UsedConnection), PoolError> {
-        let rest_max = if may_repeat { REST_MAX } else { REST_UNREPEATABLE_MAX };
-        while let Some(mut sender) = self.take_idle(rest_max) {
+        let idle_time_max = if may_repeat { IDLE_TIME_MAX } else { IDLE_TIME_UNREPEATABLE_MAX };
+        while let Some(mut sender) = self.take_idle(idle_time_max) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, self.used(sender))),
                 Err(mut error) => match error.take_message() {
@@ -115,7 +115,7 @@
         Ok((response, self.used(sender)))
     }
 
-    /// Closes all idle connections, for a target that is another one now.
+    /// Closes all idle connections, for use after a restart of the target.
     pub fn clear(&self) {
         self.lock().clear();
     }
@@ -124,30 +124,30 @@
         UsedConnection { pool: self.clone(), sender }
     }
 
-    fn take_idle(&self, rest_max: Duration) -> Option<SendRequest<AnswerBody>> {
+    fn take_idle(&self, idle_time_max: Duration) -> Option<SendRequest<AnswerBody>> {
         let mut idle = self.lock();
         let now = Instant::now();
         let suspended_us = suspended_us();
         idle.retain(|connection| {
-            connection.suspended_us == suspended_us && now.duration_since(connection.since) < REST_MAX
+            connection.suspended_us == suspended_us && now.duration_since(connection.since) < IDLE_TIME_MAX
         });
-        let place = idle.iter().rposition(|connection| {
-            connection.sender.is_ready() && now.duration_since(connection.since) < rest_max
+        let index = idle.iter().rposition(|connection| {
+            connection.sender.is_ready() && now.duration_since(connection.since) < idle_time_max
         })?;
-        Some(idle.remove(place).sender)
+        Some(idle.remove(index).sender)
     }
 
     async fn connect(&self) -> Result<SendRequest<AnswerBody>, PoolError> {
         let opened = timeout(self.connect_timeout, TcpStream::connect(self.address)).await;
         let opened = opened.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         let stream = opened.map_err(PoolError::Connect)?;
-        // Without it, small requests wait for the target's acknowledgement.
+        // Nagle's algorithm would delay small requests.
         let _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|error| PoolError::Connect(io::Error::other(error)))?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("connection to the target ended: {error}");
+                log::debug!("connection to the target failed: {error}");
             }
         });
         Ok(sender)
--- a/crates/laurelstall_node/src/ticket_runs.rs
+++ b/crates/laurelstall_node/src/ticket_runs.rs
@@ -1,9 +1,9 @@
-//! Runs of calls that bring a ticket: at most once, with the answer kept for repeats.
+//! Runs calls with a ticket at most once and keeps their answers for retries.
 
 use crate::{
     body::{Collected, collect, whole},
     counters::count,
-    target_guard::{Inner, Run, refused, unknown},
+    target_guard::{Inner, PendingAttempt, refused, unknown},
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use laurelstall_guard::{
@@ -21,9 +21,10 @@
 };
 
 impl Inner {
+    /// Runs the call of a ticket, or waits for or repeats the answer of its earlier run.
     pub(crate) async fn run_ticket(
         self: &Arc<Self>,
-        run: Run,
+        run: PendingAttempt,
         incarnation: u64,
         number: u64,
     ) -> AttemptAnswer {
@@ -48,20 +49,21 @@
         }
     }
 
-    /// Runs a ticket's call to its end even if nobody waits for it: a repeat gets the answer.
-    async fn run_detached(self: &Arc<Self>, run: Run, token: RunToken) -> AttemptAnswer {
+    /// Runs a ticket's call to its end even if the caller disconnects; a retry then gets the answer.
+    async fn run_detached(self: &Arc<Self>, run: PendingAttempt, token: RunToken) -> AttemptAnswer {
         let this = self.clone();
-        let (tell, told) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         tokio::spawn(async move {
             let kept_answer_bytes = run.limits.kept_answer_bytes;
             let answer = this.run_once(run).await;
             let answer = this.end_ticket(answer, token, kept_answer_bytes).await;
-            // The caller may have gone; the ledger knows the outcome.
-            let _ = tell.send(answer);
+            // The caller may have disconnected; the ledger keeps the outcome.
+            let _ = sender.send(answer);
         });
-        told.await.unwrap_or_else(|_| unknown("ticket's run broke off"))
+        receiver.await.unwrap_or_else(|_| unknown("ticket's run broke off"))
     }
 
+    /// Records the outcome of a ticket's run in the ledger.
     async fn end_ticket(&self, answer: AttemptAnswer, token: RunToken, kept_bytes: usize) -> AttemptAnswer {
         let AttemptAnswer { outcome, hint, ended, unread } = answer;
         let outcome = match outcome {
@@ -80,6 +82,7 @@
         AttemptAnswer { outcome, hint, ended, unread }
     }
 
+    /// Stores the answer in the ledger, unless its body exceeds `kept_bytes`.
     async fn keep_answer(
         &self,
         status: StatusCode,
@@ -88,8 +91,8 @@
         token: RunToken,
         kept_bytes: usize,
     ) -> AttemptOutcome {
-        let patience = Duration::from_secs(30);
-        match collect(body, kept_bytes, patience).await {
+        let timeout = Duration::from_secs(30);
+        match collect(body, kept_bytes, timeout).await {
             Ok(Collected::Whole(bytes)) => {
                 let pairs =
                     headers.iter().map(|(n, v)| (n.as_str().to_owned(), v.as_bytes().to_vec().into()));
@@ -110,6 +113,7 @@
     }
 }
 
+/// Rebuilds the outcome of a run from the kept answer.
 fn kept_outcome(answer: &KeptAnswer) -> AttemptOutcome {
     let mut headers = HeaderMap::new();
     for (name, value) in &answer.headers {
