--- a/crates/laurelstall_cli/src/admin_client.rs
+++ b/crates/laurelstall_cli/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! Asking a node's administration API.
+//! Client for the administration API of a node.
 
 use bytes::Bytes;
 use http::{
@@ -12,52 +12,53 @@
 };
 use tokio::time::{Duration, timeout};
 
-/// Longest wait for an answer.
+/// Maximum time to wait for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest answer in bytes.
+/// Maximum size of an answer in bytes.
 const ANSWER_BYTES_MAX: usize = 8 * 1024 * 1024;
 
-/// One question to a node.
+/// A request to the administration API of a node.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct AdminRequest {
     /// Address of the node, `IP:PORT`.
     pub node: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Bearer token.
+    /// Bearer token. `None` sends no token.
     pub token: Option<String>,
-    /// Host name to ask for, when it is not the address.
+    /// Value of the `Host` header. `None` uses the address of the node.
     pub host: Option<String>,
-    /// Body.
+    /// Body of the request.
     pub body: String,
 }
 
-/// Asks and gives the answer's status and text.
+/// Sends a request and returns the status and text of the answer.
 ///
 /// # Errors
 ///
-/// What kept the node from answering.
-pub async fn ask(question: &Question) -> Result<(StatusCode, String), String> {
-    let uri = format!("http://{}{}", question.node, question.path);
-    let mut request = Request::builder().method(&question.method).uri(uri);
-    if let Some(token) = &question.token {
+/// Returns a message when the request is invalid, the node cannot be reached, or its answer is late or too long.
+pub async fn send_request(admin_request: &AdminRequest) -> Result<(StatusCode, String), String> {
+    let uri = format!("http://{}{}", admin_request.node, admin_request.path);
+    let mut request = Request::builder().method(&admin_request.method).uri(uri);
+    if let Some(token) = &admin_request.token {
         let value = HeaderValue::from_str(&format!("Bearer {token}")).map_err(|error| error.to_string())?;
         request = request.header(AUTHORIZATION, value);
     }
-    if let Some(host) = &question.host {
+    if let Some(host) = &admin_request.host {
         request = request.header(HOST, host);
     }
-    let request =
-        request.body(Full::new(Bytes::from(question.body.clone()))).map_err(|error| error.to_string())?;
+    let request = request
+        .body(Full::new(Bytes::from(admin_request.body.clone())))
+        .map_err(|error| error.to_string())?;
     let client: Client<HttpConnector, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
-    let answered = timeout(ANSWER_TIMEOUT, async {
+    let exchange = timeout(ANSWER_TIMEOUT, async {
         let response = client.request(request).await.map_err(|error| error.to_string())?;
         let status = response.status();
         let body = Limited::new(response.into_body(), ANSWER_BYTES_MAX).collect().await;
         let bytes = body.map_err(|error| error.to_string())?.to_bytes();
         Ok((status, String::from_utf8_lossy(&bytes).into_owned()))
     });
-    answered.await.map_err(|_| "no answer in time".to_owned())?
+    exchange.await.map_err(|_| "timed out waiting for an answer".to_owned())?
 }
--- a/crates/laurelstall_cli/src/bin/laurelstall-check.rs
+++ b/crates/laurelstall_cli/src/bin/laurelstall-check.rs
@@ -1,4 +1,4 @@
-//! Checks node settings, published documents and programs as a node would, all faults at once.
+//! Checks node settings, published documents and routing programs as a node does, and reports all problems at once.
 
 use gumdrop::Options;
 use http::{HeaderMap, HeaderName, HeaderValue};
@@ -27,7 +27,7 @@
         return ExitCode::from(FINE);
     }
     if arguments.files.is_empty() {
-        eprintln!("laurelstall-check: FILE... is needed; see --help");
+        eprintln!("laurelstall-check: FILE... is required; see --help");
         return ExitCode::from(WRONG_USE);
     }
     let mut code = FINE;
@@ -54,12 +54,12 @@
     }
     println!("{file}: right");
     match &arguments.request {
-        Some(described) => run_program(file, &text, described, &arguments.header),
+        Some(description) => run_program(file, &text, description, &arguments.header),
         None => FINE,
     }
 }
 
-fn run_program(file: &str, text: &str, described: &str, headers: &[String]) -> u8 {
+fn run_program(file: &str, text: &str, description: &str, headers: &[String]) -> u8 {
     let Ok(team) = Team::from_text(file, text) else { return FINE };
     let headers = match read_headers(headers) {
         Ok(headers) => headers,
@@ -68,12 +68,12 @@
             return WRONG_USE;
         }
     };
-    if let Ok(Some(why)) = check::explain_route(&team, described) {
-        println!("{why}");
+    if let Ok(Some(explanation)) = check::explain_route(&team, description) {
+        println!("{explanation}");
     }
-    match check::decide(&team, described, &headers) {
+    match check::decide(&team, description, &headers) {
         Ok(plan) => {
-            println!("{described}: {plan:?}");
+            println!("{description}: {plan:?}");
             FINE
         }
         Err(message) => {
--- a/crates/laurelstall_cli/src/bin/laurelstall-ctl.rs
+++ b/crates/laurelstall_cli/src/bin/laurelstall-ctl.rs
@@ -1,10 +1,10 @@
-//! Asks and steers one node over its administration API.
+//! Inspects and controls a node over its administration API.
 
 use gumdrop::Options;
 use http::Method;
 use laurelstall_cli::{
     FAILED, FINE, WRONG_USE,
-    admin_client::{Question, ask},
+    admin_client::{AdminRequest, send_request},
     check, table,
 };
 use serde_json::{Value, json};
@@ -18,9 +18,9 @@
     version: bool,
     #[options(help = "administration address of the node (entry address for tickets)", meta = "IP:PORT")]
     node: Option<String>,
-    #[options(help = "bearer token; else the variable LAURELSTALL_TOKEN", meta = "SECRET")]
+    #[options(help = "bearer token; default: the environment variable LAURELSTALL_TOKEN", meta = "SECRET")]
     token: Option<String>,
-    #[options(help = "print JSON as it came")]
+    #[options(help = "print the JSON answer unformatted")]
     json: bool,
     #[options(command)]
     command: Option<Command>,
@@ -28,36 +28,40 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    #[options(help = "the node: load, budgets, counts")]
-    Status(Nothing),
-    #[options(help = "targets as this node sees them")]
-    Targets(Nothing),
-    #[options(help = "hosts, and the partners of this node")]
-    Members(Nothing),
-    #[options(help = "versions in force and refused")]
-    Config(Nothing),
-    #[options(help = "the latest routing decisions")]
-    Decisions(Nothing),
-    #[options(help = "workspaces: quotas, calls taken and refused here, tokens left of owned shares")]
-    Workspaces(Nothing),
-    #[options(help = "requests under which targets ended, and which of them are held back")]
-    Held(Nothing),
-    #[options(help = "let a request go that is held back, at all nodes")]
+    #[options(help = "show load, budgets and counters of the node")]
+    Status(NoOptions),
+    #[options(help = "list targets as this node sees them")]
+    Targets(NoOptions),
+    #[options(help = "list hosts, and the partners of this node")]
+    Members(NoOptions),
+    #[options(help = "list current and refused versions of documents")]
+    Config(NoOptions),
+    #[options(help = "list recent routing decisions")]
+    Decisions(NoOptions),
+    #[options(
+        help = "list workspaces: quotas, calls accepted and refused at this node, remaining tokens of owned shares"
+    )]
+    Workspaces(NoOptions),
+    #[options(
+        help = "list requests that were running when targets crashed, and whether they are quarantined"
+    )]
+    Held(NoOptions),
+    #[options(help = "release a quarantined request at all nodes")]
     Release(ReleaseOptions),
-    #[options(help = "let the target beside the node take nothing new")]
-    Drain(Nothing),
-    #[options(help = "let it take calls again")]
-    Undrain(Nothing),
-    #[options(help = "check a document on the node, without publishing it")]
+    #[options(help = "drain the node: its target gets no new calls")]
+    Drain(NoOptions),
+    #[options(help = "end the drain: the target gets calls again")]
+    Undrain(NoOptions),
+    #[options(help = "check a document on the node without publishing it")]
     Check(CheckOptions),
     #[options(help = "change the log level")]
     Level(LevelOptions),
-    #[options(help = "take tickets")]
+    #[options(help = "request tickets")]
     Tickets(TicketOptions),
 }
 
 #[derive(Debug, Options)]
-struct Nothing {
+struct NoOptions {
     #[options(help = "print this help")]
     help: bool,
 }
@@ -82,7 +86,7 @@
 struct ReleaseOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, required, help = "digest of the request, as `held` shows it")]
+    #[options(free, required, help = "digest of the request, as shown by `held`")]
     digest: String,
 }
 
@@ -94,7 +98,7 @@
     host: String,
     #[options(help = "the service's name", required, meta = "NAME")]
     service: String,
-    #[options(help = "how many", default = "1", meta = "N")]
+    #[options(help = "number of tickets", default = "1", meta = "N")]
     count: u32,
 }
 
@@ -104,33 +108,33 @@
         println!("laurelstall-ctl {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::from(FINE);
     }
-    let question = match question(&arguments) {
-        Ok(question) => question,
+    let admin_request = match admin_request(&arguments) {
+        Ok(admin_request) => admin_request,
         Err(message) => {
             eprintln!("laurelstall-ctl: {message}");
             return ExitCode::from(WRONG_USE);
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let answered = match runtime {
-        Ok(runtime) => runtime.block_on(ask(&question)),
+    let exchange = match runtime {
+        Ok(runtime) => runtime.block_on(send_request(&admin_request)),
         Err(error) => Err(error.to_string()),
     };
-    match answered {
+    match exchange {
         Ok((status, text)) => {
             print_answer(&text, arguments.json);
             ExitCode::from(if status.is_success() { FINE } else { FAILED })
         }
         Err(message) => {
-            eprintln!("laurelstall-ctl: {}: {message}", question.node);
+            eprintln!("laurelstall-ctl: {}: {message}", admin_request.node);
             ExitCode::from(FAILED)
         }
     }
 }
 
-fn question(arguments: &Arguments) -> Result<Question, String> {
-    let node = arguments.node.clone().ok_or("--node IP:PORT is needed; see --help")?;
-    let command = arguments.command.as_ref().ok_or("a command is needed; see --help")?;
+fn admin_request(arguments: &Arguments) -> Result<AdminRequest, String> {
+    let node = arguments.node.clone().ok_or("--node IP:PORT is required; see --help")?;
+    let command = arguments.command.as_ref().ok_or("a command is required; see --help")?;
     let token = arguments.token.clone().or_else(|| std::env::var("LAURELSTALL_TOKEN").ok());
     let get = |path: &str| (Method::GET, path.to_owned(), String::new());
     let post = |path: &str, body: String| (Method::POST, path.to_owned(), body);
@@ -154,20 +158,20 @@
             post(&format!("/laurelstall/tickets?{query}"), String::new())
         }
     };
-    Ok(Question { node, method, path, token, host, body })
+    Ok(AdminRequest { node, method, path, token, host, body })
 }
 
 fn check_body(file: &str) -> Result<String, String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{file}: {error}"))?;
-    let Some(check::FileKind::Document(name)) = check::kind_of(&text) else {
-        return Err(format!("{file}: is no published document"));
+    let Some(check::FileKind::Document(name)) = check::detect_kind(&text) else {
+        return Err(format!("{file}: not a document for publishing"));
     };
     Ok(json!({ "key": name.to_string(), "text": text }).to_string())
 }
 
 fn print_answer(text: &str, is_json: bool) {
     match serde_json::from_str::<Value>(text) {
-        Ok(value) if !is_json => println!("{}", table::lay_out(&value)),
+        Ok(value) if !is_json => println!("{}", table::format_value(&value)),
         _ => println!("{text}"),
     }
 }
--- a/crates/laurelstall_cli/src/check.rs
+++ b/crates/laurelstall_cli/src/check.rs
@@ -1,4 +1,4 @@
-//! Checking files exactly as a node does.
+//! Checks files exactly as a node does.
 
 use http::HeaderMap;
 use laurelstall_config::{
@@ -14,7 +14,7 @@
     program::{Program, RequestView},
 };
 
-/// What a file is, judged by its tables.
+/// Kind of a file, detected by its top-level tables.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FileKind {
     /// A node's settings.
@@ -23,8 +23,8 @@
     Document(DocumentName),
 }
 
-/// Tells what a text is, TOML or JSON; none when it has none of the known tables.
-pub fn kind_of(text: &str) -> Option<FileKind> {
+/// Detects the kind of a TOML or JSON text. Returns `None` when it has no known table.
+pub fn detect_kind(text: &str) -> Option<FileKind> {
     let json = || serde_json::from_str::<toml::Table>(text).ok();
     let table = text.parse::<toml::Table>().ok().or_else(json)?;
     if table.contains_key("node") {
@@ -40,43 +40,48 @@
     is_system.then_some(FileKind::Document(DocumentName::System))
 }
 
-/// Checks a text that came from `file`; all its faults.
+/// Checks a text read from `file` and returns all problems.
 pub fn check_text(file: &str, text: &str) -> Vec<Problem> {
-    let checked = match kind_of(text) {
+    let checked = match detect_kind(text) {
         Some(FileKind::Document(name)) => {
             let document = Document { name, version: Version::MAX, text: text.to_owned() };
             check_document(&document).map(drop)
         }
-        // What does not parse is reported as settings would be: with its line.
+        // A text of unknown kind is checked as settings, which reports parse errors with their lines.
         _ => Settings::from_text(file, text).map(drop),
     };
     let problems = checked.err().map(|error| error.problems().to_vec()).unwrap_or_default();
     problems.into_iter().map(|problem| Problem { file: file.to_owned(), ..problem }).collect()
 }
 
-/// Says which route of a team's table takes a request, and why; none when the program decides.
+/// Explains which route of a team's table matches a request. Returns `None` when no route does and the program decides.
 ///
 /// # Errors
 ///
-/// What is wrong with the description.
-pub fn explain_route(team: &Team, described: &str) -> Result<Option<String>, String> {
-    let (_, host, path) = read_description(team, described)?;
+/// Returns a message when the description is invalid.
+pub fn explain_route(team: &Team, description: &str) -> Result<Option<String>, String> {
+    let (_, host, path) = parse_description(team, description)?;
     let table = RouteTable::new(&team.routes, 0);
     let fitting = table.fitting(host, path);
     let Some(rule) = fitting.first() else { return Ok(None) };
     let prefixes = fitting.iter().map(|rule| rule.path_prefix.as_str()).collect::<Vec<_>>();
     let shares = rule.shares.iter().map(|share| format!("{} {}", share.service, share.weight));
     Ok(Some(format!(
-        "route {}: host {host}, longest of the prefixes that fit: {}; services by weight: {}",
+        "route {}: host {host}, longest of the matching prefixes: {}; services by weight: {}",
         rule.name,
         prefixes.join(", "),
         shares.collect::<Vec<_>>().join(", "),
     )))
 }
 
-/// Method, host and path of a request described as `METHOD PATH` or `METHOD HOST/PATH`.
-fn read_description<'a>(team: &'a Team, described: &'a str) -> Result<(&'a str, &'a str, &'a str), String> {
-    let (method, rest) = described.split_once(' ').ok_or("a request is described as 'METHOD PATH'")?;
+/// Parses a description `METHOD PATH` or `METHOD HOST/PATH` into method, host and path.
+fn parse_description<'a>(
+    team: &'a Team,
+    description: &'a str,
+) -> Result<(&'a str, &'a str, &'a str), String> {
+    let (method, rest) = description
+        .split_once(' ')
+        .ok_or("a request must have the form 'METHOD PATH' or 'METHOD HOST/PATH'")?;
     let route_host = team.routes.first().map_or("", |route| &route.host);
     let default_host = team.caller_hosts.first().map_or(route_host, String::as_str);
     let (host, path) = match rest.find('/') {
@@ -87,13 +92,13 @@
     Ok((method, host, path))
 }
 
-/// Asks a team's routes, and then its program, about a request described as `METHOD PATH` or `METHOD HOST/PATH`.
+/// Routes a request described as `METHOD PATH` or `METHOD HOST/PATH` by a team's routes, or else by its program.
 ///
 /// # Errors
 ///
-/// What is wrong with the description or the program.
-pub fn decide(team: &Team, described: &str, headers: &HeaderMap) -> Result<Plan, String> {
-    let (method, host, path) = read_description(team, described)?;
+/// Returns a message when the description is invalid or the program fails.
+pub fn decide(team: &Team, description: &str, headers: &HeaderMap) -> Result<Plan, String> {
+    let (method, host, path) = parse_description(team, description)?;
     if let Some((rule, service)) = RouteTable::new(&team.routes, 0).find(host, path) {
         return Ok(Plan::Route(route_of(rule, service)));
     }
--- a/crates/laurelstall_cli/src/lib.rs
+++ b/crates/laurelstall_cli/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the command-line programs for operators share.
+//! Shared code of the command-line programs for operators.
 
 pub mod admin_client;
 pub mod check;
 pub mod table;
 
-/// Exit code when all is well.
+/// Exit code for success.
 pub const FINE: u8 = 0;
-/// Exit code when what was asked failed.
+/// Exit code for a failed operation.
 pub const FAILED: u8 = 1;
-/// Exit code for wrong use or bad settings.
+/// Exit code for wrong usage or invalid settings.
 pub const WRONG_USE: u8 = 2;
--- a/crates/laurelstall_cli/tests/check.rs
+++ b/crates/laurelstall_cli/tests/check.rs
@@ -1,7 +1,7 @@
-//! The examples are right, and wrong files are said to be wrong.
+//! Tests that the example files are valid, and that invalid files are reported.
 
 use http::HeaderMap;
-use laurelstall_cli::check::{FileKind, check_text, decide, explain_route, kind_of};
+use laurelstall_cli::check::{FileKind, check_text, decide, detect_kind, explain_route};
 use laurelstall_config::{
     configuration::{Checked, Configuration},
     document::{Document, DocumentName, Version},
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn the_deployments_of_both_users_are_right_and_complete() {
+fn example_deployments_are_valid_and_complete() {
     for name in ["faltgard", "kuantan"] {
         let files = example(name);
         assert_eq!(files.len(), 4, "{name}");
         let mut configuration = Configuration::default();
         for (file, text) in &files {
             assert_eq!(check_text(file, text), Vec::new(), "{file}");
-            let Some(FileKind::Document(name)) = kind_of(text) else { continue };
+            let Some(FileKind::Document(name)) = detect_kind(text) else { continue };
             let document = Document { name: name.clone(), version: Version::new(1), text: text.clone() };
             let checked = Checked::from_document(&document).expect("it was checked");
             configuration = configuration.with_document(&name, Version::new(1), checked);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_program_is_run_on_a_described_request() {
+fn a_program_decides_a_described_request() {
     let files = example("faltgard");
     let (file, text) = files.iter().find(|(file, _)| file.contains("team-")).expect("a team's document");
     let team = Team::from_text(file, text).expect("right");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn wrong_files_are_said_to_be_wrong_with_their_place() {
+fn invalid_files_are_reported_with_file_and_line() {
     let text = "team = \"a\"\ncaller_hosts = [\"h\"]\nprogram = \"\"\"\n#{ service: }\n\"\"\"\n[[service]]\nname = \"s\"\n";
     let problems = check_text("team-a.toml", text);
     assert_eq!(
@@ -63,7 +63,7 @@
         "{problems:?}"
     );
     assert!(!check_text("x.toml", "nonsense").is_empty());
-    assert_eq!(kind_of("[observe]\n"), Some(FileKind::Document(DocumentName::System)));
+    assert_eq!(detect_kind("[observe]\n"), Some(FileKind::Document(DocumentName::System)));
 }
 
 const ROUTES: &str = r#"
@@ -98,11 +98,15 @@
 "#;
 
 #[test]
-fn a_route_table_says_which_route_a_request_takes_and_why() {
+fn a_route_table_explains_the_route_of_a_request() {
     assert_eq!(check_text("team-a.toml", ROUTES), Vec::new());
     let team = Team::from_text("team-a.toml", ROUTES).expect("right");
-    let why = explain_route(&team, "GET /grain/rye").expect("it is described").expect("a route takes it");
-    assert!(why.starts_with("route grain: host a.example") && why.contains("/grain/, /;"), "{why}");
+    let explanation =
+        explain_route(&team, "GET /grain/rye").expect("it is described").expect("a route takes it");
+    assert!(
+        explanation.starts_with("route grain: host a.example") && explanation.contains("/grain/, /;"),
+        "{explanation}"
+    );
     let Ok(Plan::Route(route)) = decide(&team, "GET /grain/rye", &HeaderMap::new()) else {
         panic!("no route")
     };
@@ -111,26 +115,26 @@
 }
 
 #[test]
-fn workspaces_are_judged_with_the_line_at_fault() {
+fn invalid_workspaces_are_reported_with_their_line() {
     let key = "00112233445566778899aabbccddeeff";
     let team = |workspaces: &str| {
         format!(
             "team = \"t\"\ncaller_hosts = [\"h\"]\nprogram = \"1\"\nneeds_keys = true\n[[service]]\nname = \"s\"\n{workspaces}"
         )
     };
-    let right = team(&format!("[[workspace]]\nname = \"a\"\nkeys = [\"{key}\"]\nquota.calls_per_s = 5.0\n"));
-    assert_eq!(check_text("t.toml", &right), Vec::new());
-    let twice = team(&format!(
+    let valid = team(&format!("[[workspace]]\nname = \"a\"\nkeys = [\"{key}\"]\nquota.calls_per_s = 5.0\n"));
+    assert_eq!(check_text("t.toml", &valid), Vec::new());
+    let duplicate_key = team(&format!(
         "[[workspace]]\nname = \"a\"\nkeys = [\"{key}\"]\n[[workspace]]\nname = \"b\"\nkeys = [\"{key}\"]\n"
     ));
-    let problems = check_text("t.toml", &twice);
+    let problems = check_text("t.toml", &duplicate_key);
     assert_eq!((problems.len(), problems[0].line, problems[0].field.as_str()), (1, 12, "workspace.keys"));
     assert!(!problems[0].message.contains(key), "it shows the key's digest");
-    for wrong in
+    for invalid in
         ["keys = [\"a key itself\"]", "quota.calls_per_s = -1.0", "quota.calls_per_s = 0.0", "weight = 0"]
     {
-        let text = team(&format!("[[workspace]]\nname = \"a\"\n{wrong}\n"));
-        assert_eq!(check_text("t.toml", &text).len(), 1, "{wrong}");
+        let text = team(&format!("[[workspace]]\nname = \"a\"\n{invalid}\n"));
+        assert_eq!(check_text("t.toml", &text).len(), 1, "{invalid}");
     }
     let many = (0..10_001).map(|n| format!("[[workspace]]\nname = \"w-{n}\"\n")).collect::<String>();
     let problems = check_text("t.toml", &team(&many));
--- a/crates/laurelstall_node/benches/decisions.rs
+++ b/crates/laurelstall_node/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What each decision costs: `cargo bench -p laurelstall_node`.
+//! Benchmarks of the decisions for each call: `cargo bench -p laurelstall_node`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use http::HeaderMap;
@@ -122,7 +122,7 @@
     criterion.bench_function("decision handed to the log", |b| b.iter(|| log.write(decision.clone())));
 }
 
-/// What keeping an eye on requests that end targets costs each call.
+/// Cost per call of recognizing requests that crash targets.
 fn crashes(criterion: &mut Criterion) {
     let head = RequestHead { method: "POST", host: "shop.example", path: "/sell/wheat/c6df04", caller: "" };
     let body = vec![7; 1_200];
--- a/crates/laurelstall_node/src/active.rs
+++ b/crates/laurelstall_node/src/active.rs
@@ -1,4 +1,4 @@
-//! The configuration in force with its compiled programs, swapped as one value.
+//! The current configuration with its compiled programs, swapped atomically as one value.
 
 use crate::metrics::{latency_histogram, observe_us};
 use arc_swap::ArcSwap;
@@ -32,87 +32,90 @@
     time::{Duration, Instant, sleep_until},
 };
 
-/// The configuration in force.
+/// An immutable snapshot of the configuration that a node uses.
 #[derive(Debug, Default)]
 pub struct InForce {
-    /// The documents.
+    /// The checked documents.
     pub configuration: Configuration,
     /// The compiled program of each team.
     pub programs: BTreeMap<String, Arc<Program>>,
-    /// The workspaces of each team by their keys.
+    /// The workspaces of each team, indexed by their keys.
     pub keys: BTreeMap<String, Arc<KeyDirectory>>,
-    /// Grows with each change, to tell whether something derived from it is out of date.
+    /// Increases with each change, so that derived state can tell whether it is out of date.
     pub generation: u64,
 }
 
-/// Most targets that one log line names: a list may lack hundreds.
-const NAMES_LOGGED_MAX: usize = 8;
+/// Maximum number of target names in one log line.
+const LOGGED_NAMES_MAX: usize = 8;
 
-/// Holds the configuration in force and takes new documents into it.
+/// Holds the current configuration and applies new documents to it.
 #[derive(Debug)]
 pub struct Active {
     in_force: ArcSwap<InForce>,
-    /// Held while the next value is made: of two made from the same one, the first would be lost.
-    changing: Mutex<()>,
+    /// Held while the next snapshot is built, so that concurrent updates do not overwrite each other.
+    update_lock: Mutex<()>,
     changed: watch::Sender<u64>,
-    /// Until when targets are kept although the list lacks them, after the platform was away.
-    keeps_until: Mutex<Option<Instant>>,
-    /// The list of hosts as it was published, and what was said before the platform came back from an older copy.
-    recent: Mutex<RecentFleet>,
-    /// Times that the platform came back from an older copy, as far as its lists tell.
+    /// After a platform outage, the time until which targets that are missing from the host list are retained. `None`
+    /// when none are.
+    retain_until: Mutex<Option<Instant>>,
+    /// The host list as published, with the corrections that hold after the platform was restored from an older copy.
+    corrector: Mutex<RecentFleet>,
+    /// Number of restores of the platform from an older copy, as seen from its host lists.
     pub returns: AtomicU64,
-    /// How long after a node read it from the platform each version came in force here.
+    /// Delay from the first read of a version from the platform to its taking effect at this node.
     pub delays: Histogram,
 }
 
 impl Active {
-    /// Starts with nothing in force.
+    /// Starts with an empty configuration.
     pub fn new() -> Arc<Self> {
         let (changed, _) = watch::channel(0);
         Arc::new(Self {
             in_force: ArcSwap::default(),
-            changing: Mutex::default(),
+            update_lock: Mutex::default(),
             changed,
-            keeps_until: Mutex::default(),
-            recent: Mutex::default(),
+            retain_until: Mutex::default(),
+            corrector: Mutex::default(),
             returns: AtomicU64::new(0),
             delays: latency_histogram(),
         })
     }
 
-    /// The configuration in force now; a request keeps to the one it started with.
+    /// Returns the current snapshot. A request uses the same snapshot from start to end.
     pub fn load(&self) -> Arc<InForce> {
         self.in_force.load_full()
     }
 
-    /// Waits until the list in force changes though none is taken, since hosts that are kept have had their time, or what
-    /// was carried over a return of the platform has; for ever when there is nothing of the kind.
+    /// Waits until the next retained target or correction of the host list expires, and applies the change. Waits forever
+    /// when nothing is due to expire.
     pub async fn follow_time(&self) {
-        let kept_end = *self.keeps_until();
-        let carried_end = self.recent().next_change(Instant::now());
-        let Some(next) = kept_end.into_iter().chain(carried_end).min() else { return pending().await };
+        let retention_end = *self.retain_until();
+        let corrections_end = self.corrector().next_change(Instant::now());
+        let Some(next) = retention_end.into_iter().chain(corrections_end).min() else {
+            return pending().await;
+        };
         sleep_until(next).await;
         self.refresh_fleet();
     }
 
-    /// Puts the list in force that holds now, if it is another one.
+    /// Applies the host list that holds now, if it differs from the current one.
     fn refresh_fleet(&self) {
-        let _changing = self.changing();
+        let _guard = self.update_lock();
         let old = self.in_force.load_full();
         let before = &old.configuration.fleet;
-        let listed = self.recent().fleet(Instant::now());
-        let fleet = self.with_lapsed(listed, before);
+        let listed = self.corrector().fleet(Instant::now());
+        let fleet = self.retain_missing(listed, before);
         if fleet == *before {
             return;
         }
         let missing = before.targets.len().saturating_sub(fleet.targets.len());
         if missing > 0 {
-            log::info!("{missing} targets are still missing from the list: they are gone");
+            log::info!("{missing} targets are still missing from the host list and are removed");
         }
         let version = old.configuration.version(&DocumentName::Fleet);
         let checked = Checked::Fleet(fleet);
         let configuration = old.configuration.with_document(&DocumentName::Fleet, version, checked);
-        self.put_in_force(InForce {
+        self.publish(InForce {
             configuration,
             programs: old.programs.clone(),
             keys: old.keys.clone(),
@@ -120,77 +123,77 @@
         });
     }
 
-    fn put_in_force(&self, in_force: InForce) {
+    fn publish(&self, in_force: InForce) {
         let generation = in_force.generation;
         self.in_force.store(Arc::new(in_force));
         self.changed.send_replace(generation);
     }
 
-    /// The list to put in force for one of the platform's: as far as it does not know better what was said before the
-    /// platform came back from an older copy, and with what it lacks while registrations may have run out.
-    fn corrected(&self, listed: Arc<Fleet>, era: u64, before: &Fleet) -> Arc<Fleet> {
+    /// Returns the host list to apply for one that the platform published: with the corrections that hold after a restore
+    /// of the platform from an older copy, and with the targets that are retained after a platform outage.
+    fn correct_fleet(&self, listed: Arc<Fleet>, era: u64, before: &Fleet) -> Arc<Fleet> {
         let now = Instant::now();
-        let mut recent = self.recent();
-        let has_returned = recent.take(listed, era, before, now);
-        let corrected = recent.fleet(now);
-        let carried = has_returned.then(|| recent.carried_numbers());
-        drop(recent);
-        if let Some(carried) = carried {
+        let mut corrector = self.corrector();
+        let is_restored = corrector.take(listed, era, before, now);
+        let corrected = corrector.fleet(now);
+        let corrections = is_restored.then(|| corrector.carried_numbers());
+        drop(corrector);
+        if let Some(corrections) = corrections {
             self.returns.fetch_add(1, Ordering::Relaxed);
-            log::warn!("the platform came back from an older copy, era {era}: {carried}");
+            log::warn!("the platform was restored from an older copy, era {era}: {corrections}");
         }
-        self.with_lapsed(corrected, before)
+        self.retain_missing(corrected, before)
     }
 
-    /// A list with the targets that it lacks, while registrations may have run out.
-    fn with_lapsed(&self, listed: Arc<Fleet>, before: &Fleet) -> Arc<Fleet> {
-        let mut keeps_until = self.keeps_until();
-        // A list that comes when their time is over is taken as it is.
-        keeps_until.take_if(|until| Instant::now() >= *until);
-        if keeps_until.is_none() {
+    /// Adds targets that are missing from `listed` because their registrations may have expired during a platform outage.
+    fn retain_missing(&self, listed: Arc<Fleet>, before: &Fleet) -> Arc<Fleet> {
+        let mut retain_until = self.retain_until();
+        // After the grace period, the list is applied unchanged.
+        retain_until.take_if(|until| Instant::now() >= *until);
+        if retain_until.is_none() {
             return listed;
         }
-        drop(keeps_until);
-        let Some(kept) = listed.with_lost_targets(before) else { return listed };
-        // The kept ones stand behind those that are listed.
-        let missing = &kept.targets[listed.targets.len()..];
+        drop(retain_until);
+        let Some(extended) = listed.with_lost_targets(before) else { return listed };
+        // Retained targets follow the listed ones.
+        let missing = &extended.targets[listed.targets.len()..];
         let count = missing.len();
         let names = first_names(missing);
         log::info!(
-            "{count} targets are missing from the list after the platform was away: kept for now: {names}"
+            "{count} targets are missing from the host list after a platform outage and are retained for now: {names}"
         );
-        Arc::new(kept)
+        Arc::new(extended)
     }
 
-    fn changing(&self) -> MutexGuard<'_, ()> {
-        self.changing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn update_lock(&self) -> MutexGuard<'_, ()> {
+        self.update_lock.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn keeps_until(&self) -> MutexGuard<'_, Option<Instant>> {
-        self.keeps_until.lock().unwrap_or_else(PoisonError::into_inner)
+    fn retain_until(&self) -> MutexGuard<'_, Option<Instant>> {
+        self.retain_until.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn recent(&self) -> MutexGuard<'_, RecentFleet> {
-        self.recent.lock().unwrap_or_else(PoisonError::into_inner)
+    fn corrector(&self) -> MutexGuard<'_, RecentFleet> {
+        self.corrector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells of each change, by generation.
+    /// Returns a receiver of the generation of each new snapshot.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 }
 
-/// The names of the first few targets, for a log line.
+/// Joins the names of the first few targets for a log line.
 fn first_names(targets: &[FleetTarget]) -> String {
-    let names = targets.iter().take(NAMES_LOGGED_MAX).map(|target| format!("'{}'", target.name));
+    let names = targets.iter().take(LOGGED_NAMES_MAX).map(|target| format!("'{}'", target.name));
     names.collect::<Vec<_>>().join(", ")
 }
 
-/// Checks a document as a node does before it takes it, its program included.
+/// Checks a document and compiles its program, as a node does before it applies the document.
 ///
 /// # Errors
 ///
-/// All faults found.
+/// Returns all problems found.
 pub fn check_document(document: &Document) -> Result<(Checked, Option<Program>), ConfigError> {
     let checked = Checked::from_document(document)?;
     let Checked::Team(team) = &checked else { return Ok((checked, None)) };
@@ -208,7 +211,7 @@
         Ok(program) => return Ok(program),
         Err(error) => error,
     };
-    // A text that starts on the line after its quotes counts its own lines from there.
+    // The lines of a multi-line string are counted from the line after its opening quotes.
     let start = document.text.lines().enumerate().find(|(_, line)| line.trim_start().starts_with("program"));
     let start = start.map_or(0, |(index, line)| index + usize::from(line.trim_end().ends_with("\"\"\"")));
     let offset = match &error {
@@ -217,18 +220,18 @@
     };
     check.push(start + offset.max(1), "program", &error.to_string());
     check.finish()?;
-    unreachable!("a problem was noted")
+    unreachable!("a problem was pushed")
 }
 
 impl Acceptor for Active {
     fn accept(&self, document: &Document) -> Result<(), ConfigError> {
         let (checked, program) = check_document(document)?;
-        let _changing = self.changing();
+        let _guard = self.update_lock();
         let old = self.in_force.load_full();
         let checked = match checked {
             Checked::Fleet(listed) => {
                 let before = &old.configuration.fleet;
-                Checked::Fleet(self.corrected(listed, document.version.era, before))
+                Checked::Fleet(self.correct_fleet(listed, document.version.era, before))
             }
             other => other,
         };
@@ -241,27 +244,30 @@
             programs.remove(team);
             programs.extend(program.map(|program| (team.clone(), Arc::new(program))));
         }
-        for (host, holder, loser) in configuration.caller_host_conflicts() {
-            log::error!("caller host '{host}' is claimed by team {loser} but held by team {holder}");
+        for (host, owner, claimant) in configuration.caller_host_conflicts() {
+            log::error!("caller host '{host}' is claimed by team {claimant} but belongs to team {owner}");
         }
-        self.put_in_force(InForce { configuration, programs, keys, generation: old.generation + 1 });
+        self.publish(InForce { configuration, programs, keys, generation: old.generation + 1 });
         Ok(())
     }
 
     fn carried_hash(&self) -> u64 {
-        self.recent().hash(Instant::now())
+        self.corrector().hash(Instant::now())
     }
 
     fn carried(&self) -> Option<CarriedNews> {
-        self.recent().news(Instant::now())
+        self.corrector().news(Instant::now())
     }
 
-    fn take_carried(&self, news: &CarriedNews) {
-        if self.recent().take_news(news, Instant::now()) {
-            log::info!("the list of hosts is corrected by what another node carries, era {}", news.era);
+    fn take_carried(&self, corrections: &CarriedNews) {
+        if self.corrector().take_news(corrections, Instant::now()) {
+            log::info!(
+                "the host list is corrected with corrections from another node, era {}",
+                corrections.era
+            );
         }
         self.refresh_fleet();
-        // Whoever waits for the end of the time must look at it anew.
+        // Wakes the task that waits in `follow_time`, since its deadline has changed.
         self.changed.send_replace(self.in_force.load().generation);
     }
 
@@ -269,16 +275,17 @@
         observe_us(&self.delays, delay_us);
     }
 
-    fn expect_lapsed(&self, returned_age_ms: u64) {
-        // Counted from the return itself: whoever hears of it late must not keep a target that has left for longer.
-        let left = REGISTER_GRACE.saturating_sub(Duration::from_millis(returned_age_ms));
-        let mut keeps_until = self.keeps_until();
-        if left.is_zero() || keeps_until.is_some() {
+    fn expect_lapsed(&self, outage_end_age_ms: u64) {
+        // The grace period starts at the end of the outage, even if this node learns of it later: otherwise targets that
+        // have left would be retained for too long.
+        let remaining = REGISTER_GRACE.saturating_sub(Duration::from_millis(outage_end_age_ms));
+        let mut retain_until = self.retain_until();
+        if remaining.is_zero() || retain_until.is_some() {
             return;
         }
-        *keeps_until = Some(Instant::now() + left);
-        drop(keeps_until);
-        // Whoever waits for the end of the time must look at it anew.
+        *retain_until = Some(Instant::now() + remaining);
+        drop(retain_until);
+        // Wakes the task that waits in `follow_time`, since its deadline has changed.
         self.changed.send_replace(self.in_force.load().generation);
     }
 }
--- a/crates/laurelstall_node/src/admin.rs
+++ b/crates/laurelstall_node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API: looks at the node, and a few switches. Nothing in it writes shared state.
+//! The administration API of a node: reports its state and changes a few settings of the running node.
 
 use crate::{
     active::{Active, check_document},
@@ -36,53 +36,53 @@
 use subtle::ConstantTimeEq;
 use tokio::time::Duration;
 
-/// Longest body of an administration request in bytes.
+/// Maximum body of an administration request, in bytes.
 const BODY_BYTES_MAX: usize = 1_100_000;
-/// Longest wait for it.
-const BODY_PATIENCE: Duration = Duration::from_secs(5);
-/// Form of the metrics.
+/// Maximum time to read the body of an administration request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Content type of the metrics.
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Rows in one answer at most.
+/// Maximum number of rows in an answer.
 const ROWS_MAX: usize = 1_000;
 
-/// The administration side of a node.
+/// Serves the administration API.
 #[derive(Debug)]
 pub struct Admin {
-    /// The entry.
+    /// The entry that accepts callers' requests.
     pub entry: Arc<Entry>,
-    /// The guard.
+    /// The guard of the local target.
     pub guard: TargetGuard,
-    /// The configuration in force.
+    /// The current configuration.
     pub active: Arc<Active>,
-    /// The spreading of configuration.
+    /// Replicates the configuration between nodes.
     pub spread: Arc<Spread>,
-    /// Counts.
+    /// Counters of the node.
     pub counters: Arc<Counters>,
-    /// Tokens; without any, only loopback may ask, and only read.
+    /// Bearer tokens. Without any, only clients on loopback have access, and only to read.
     pub tokens: ArcSwap<Vec<TokenSettings>>,
-    /// Whether the address is on loopback.
+    /// Whether the API listens on a loopback address.
     pub is_loopback: bool,
-    /// The host's name.
+    /// Name of the host.
     pub host: String,
-    /// The data centre.
+    /// Name of the host's data centre.
     pub data_centre: String,
 }
 
-/// Who asks.
+/// An authenticated client of the API.
 #[derive(Debug, Clone)]
-struct Caller {
+struct Client {
     role: Role,
-    /// Empty for all teams.
+    /// The team whose services the client may see; empty for all teams.
     team: String,
 }
 
-impl Caller {
+impl Client {
     fn may_see(&self, service: &str) -> bool {
         self.team.is_empty() || service.split('/').next() == Some(self.team.as_str())
     }
 }
 
-/// A document to check.
+/// Body of `POST /v1/check`: a document to check.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct CheckRequest {
@@ -99,7 +99,7 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ReleaseRequest {
-    /// As logs and `GET /v1/held` show it.
+    /// Digest of the request, as in logs and in the answer of `GET /v1/held`.
     digest: String,
 }
 
@@ -108,34 +108,34 @@
 struct WorkspaceRow {
     /// Full name, `team/workspace`.
     workspace: String,
-    /// Quota; none when any amount may be called.
+    /// Quota in calls per second. `None` when calls are unlimited.
     calls_per_s: Option<f64>,
     burst: Option<f64>,
-    /// Calls here that got a token since the start.
+    /// Calls at this node that got a token since its start.
     taken: u64,
-    /// Calls here that were refused since the quota was spent.
+    /// Calls at this node that were refused because the quota was exhausted.
     spent: u64,
-    /// Calls here that were refused since no owner of a share answered.
+    /// Calls at this node that were refused because no owner of a quota share answered.
     unanswered: u64,
-    /// Tokens left of the shares that this node owns.
+    /// Remaining tokens of each quota share that this node owns.
     owned_tokens: Vec<f64>,
 }
 
-/// A request that was at work when targets ended.
+/// A request that was running when targets crashed.
 #[derive(Debug, Serialize)]
-struct HeldRow {
+struct QuarantineRow {
     digest: String,
     service: String,
     state: &'static str,
     ends: usize,
     last_end_age_ms: u64,
-    /// None while it is not held back.
+    /// `None` while the request is not quarantined.
     retry_after_ms: Option<u64>,
 }
 
-impl From<CrashState> for HeldRow {
+impl From<CrashState> for QuarantineRow {
     fn from(state: CrashState) -> Self {
-        let (word, retry_after_ms) = match state.verdict {
+        let (state_name, retry_after_ms) = match state.verdict {
             Verdict::Harmless => ("harmless", None),
             Verdict::Suspected(_) => ("suspected", None),
             Verdict::Held { retry_after_ms } => ("held", Some(retry_after_ms)),
@@ -144,7 +144,7 @@
         Self {
             digest: state.digest.to_string(),
             service: state.service,
-            state: word,
+            state: state_name,
             ends: state.ends,
             last_end_age_ms: state.last_end_age_ms,
             retry_after_ms,
@@ -206,38 +206,38 @@
             (&Method::GET, "/v1/metrics") => return self.metrics(),
             _ => {}
         }
-        let Some(caller) = self.caller(&parts) else {
+        let Some(client) = self.authenticate(&parts) else {
             return problem(StatusCode::UNAUTHORIZED, "a bearer token is needed");
         };
         match (&parts.method, path.as_str()) {
             (&Method::GET, "/v1/status") => json(StatusCode::OK, &self.status()),
-            (&Method::GET, "/v1/targets") => json(StatusCode::OK, &self.targets(&caller)),
+            (&Method::GET, "/v1/targets") => json(StatusCode::OK, &self.targets(&client)),
             (&Method::GET, "/v1/members") => json(StatusCode::OK, &self.members()),
             (&Method::GET, "/v1/config") => json(StatusCode::OK, &self.config()),
-            (&Method::GET, "/v1/decisions") => json(StatusCode::OK, &self.decisions(&caller)),
-            (&Method::GET, "/v1/workspaces") => json(StatusCode::OK, &self.workspaces(&caller)),
-            (&Method::GET, "/v1/held") => json(StatusCode::OK, &self.held(&caller)),
+            (&Method::GET, "/v1/decisions") => json(StatusCode::OK, &self.decisions(&client)),
+            (&Method::GET, "/v1/workspaces") => json(StatusCode::OK, &self.workspaces(&client)),
+            (&Method::GET, "/v1/held") => json(StatusCode::OK, &self.quarantined(&client)),
             (&Method::POST, "/v1/check") => check(body).await,
-            (&Method::POST, "/v1/drain") => self.drain(&caller, true),
-            (&Method::POST, "/v1/undrain") => self.drain(&caller, false),
-            (&Method::POST, "/v1/release") => self.release(&caller, body).await,
-            (&Method::POST, "/v1/log-level") => change_level(&caller, body).await,
+            (&Method::POST, "/v1/drain") => self.drain(&client, true),
+            (&Method::POST, "/v1/undrain") => self.drain(&client, false),
+            (&Method::POST, "/v1/release") => self.release(&client, body).await,
+            (&Method::POST, "/v1/log-level") => change_level(&client, body).await,
             _ => problem(StatusCode::NOT_FOUND, "no such resource"),
         }
     }
 
-    /// Who asks, by token; without tokens in the settings, loopback may read.
-    fn caller(&self, parts: &Parts) -> Option<Caller> {
+    /// Finds the client by its bearer token. Without tokens in the settings, clients on loopback may read.
+    fn authenticate(&self, parts: &Parts) -> Option<Client> {
         let tokens = self.tokens.load();
         if tokens.is_empty() {
-            return self.is_loopback.then(|| Caller { role: Role::Read, team: String::new() });
+            return self.is_loopback.then(|| Client { role: Role::Read, team: String::new() });
         }
         let given = parts.headers.get(AUTHORIZATION)?.to_str().ok()?.strip_prefix("Bearer ")?;
         let mut found = None;
-        // Each token is compared, so that time tells nothing of which one was near.
+        // All tokens are compared in constant time to avoid a timing side channel.
         for token in tokens.iter() {
             if bool::from(token.secret.as_bytes().ct_eq(given.as_bytes())) {
-                found = Some(Caller { role: token.role, team: token.team.clone() });
+                found = Some(Client { role: token.role, team: token.team.clone() });
             }
         }
         found
@@ -287,11 +287,11 @@
         })
     }
 
-    fn targets(&self, caller: &Caller) -> Vec<TargetRow> {
+    fn targets(&self, client: &Client) -> Vec<TargetRow> {
         let now_us = self.entry.context.clock.now_us();
         let mut rows = Vec::new();
         for service in self.entry.services.all() {
-            if !caller.may_see(&service.name) {
+            if !client.may_see(&service.name) {
                 continue;
             }
             for view in service.balancer().targets() {
@@ -340,7 +340,7 @@
         let in_force = self.active.load();
         let versions = in_force.configuration.versions.iter();
         let versions = versions.map(|(name, version)| (name.to_string(), version.to_string().into()));
-        // Before the documents are locked: it looks at them itself.
+        // Called before `store` is locked, because it locks the store itself.
         let platform_era = self.spread.platform_era();
         let store = self.spread.store();
         let refused = store.refused().map(|(name, version)| (name.to_string(), version.to_string().into()));
@@ -357,13 +357,13 @@
         })
     }
 
-    fn decisions(&self, caller: &Caller) -> Vec<Decision> {
+    fn decisions(&self, client: &Client) -> Vec<Decision> {
         let recent = self.entry.context.decisions.recent(ROWS_MAX);
-        recent.into_iter().filter(|decision| caller.may_see(&decision.service)).collect()
+        recent.into_iter().filter(|decision| client.may_see(&decision.service)).collect()
     }
 
-    /// Workspaces, those first that were refused most.
-    fn workspaces(&self, caller: &Caller) -> Vec<WorkspaceRow> {
+    /// Lists workspaces, those with the most refused calls first.
+    fn workspaces(&self, client: &Client) -> Vec<WorkspaceRow> {
         let in_force = self.active.load();
         let counts = self.entry.quotas.counts();
         let mut owned: HashMap<String, Vec<f64>> = HashMap::new();
@@ -374,7 +374,7 @@
         for (team, directory) in &in_force.keys {
             for workspace in directory.workspaces() {
                 let name = format!("{team}/{}", workspace.name);
-                if !caller.may_see(&name) {
+                if !client.may_see(&name) {
                     continue;
                 }
                 let counts = counts.get(&name).copied().unwrap_or_default();
@@ -394,37 +394,37 @@
         rows
     }
 
-    /// Requests that were at work when targets ended.
-    fn held(&self, caller: &Caller) -> Vec<HeldRow> {
+    /// Lists requests that were running when targets crashed.
+    fn quarantined(&self, client: &Client) -> Vec<QuarantineRow> {
         let states = self.spread.crashes().states().into_iter();
-        states.filter(|state| caller.may_see(&state.service)).map(HeldRow::from).collect()
+        states.filter(|state| client.may_see(&state.service)).map(QuarantineRow::from).collect()
     }
 
-    /// Lets a request go that is held back, at all nodes.
-    async fn release(&self, caller: &Caller, body: AnswerBody) -> Answer {
+    /// Releases a quarantined request at all nodes.
+    async fn release(&self, client: &Client, body: AnswerBody) -> Answer {
         let request = match read_json::<ReleaseRequest>(body).await {
             Ok(request) => request,
             Err(answer) => return answer,
         };
         let crashes = self.spread.crashes();
         let state = crashes.states().into_iter().find(|state| state.digest.to_string() == request.digest);
-        let Some(state) = state.filter(|state| caller.may_see(&state.service)) else {
-            return problem(StatusCode::NOT_FOUND, "nothing speaks against a request with this digest");
+        let Some(state) = state.filter(|state| client.may_see(&state.service)) else {
+            return problem(StatusCode::NOT_FOUND, "no crash is recorded for a request with this digest");
         };
-        if caller.role < Role::Operate {
+        if client.role < Role::Operate {
             return problem(StatusCode::FORBIDDEN, "this needs the role 'operate' for the service's team");
         }
         json(StatusCode::OK, &value!({ "is_released": crashes.release(state.digest.whole) }))
     }
 
-    fn drain(&self, caller: &Caller, is_draining: bool) -> Answer {
-        let own = self.active.load();
-        let own = own
+    fn drain(&self, client: &Client, is_draining: bool) -> Answer {
+        let in_force = self.active.load();
+        let local_service = in_force
             .configuration
             .services()
             .find(|(_, service)| service.targets.iter().any(|t| t.host == self.host));
-        let is_own = own.is_none_or(|(name, _)| caller.may_see(&name));
-        if caller.role < Role::Operate || !is_own {
+        let may_drain = local_service.is_none_or(|(name, _)| client.may_see(&name));
+        if client.role < Role::Operate || !may_drain {
             return problem(StatusCode::FORBIDDEN, "this needs the role 'operate' for the target's team");
         }
         self.guard.set_operator_drain(is_draining);
@@ -432,8 +432,8 @@
     }
 }
 
-async fn change_level(caller: &Caller, body: AnswerBody) -> Answer {
-    if caller.role < Role::Operate {
+async fn change_level(client: &Client, body: AnswerBody) -> Answer {
+    if client.role < Role::Operate {
         return problem(StatusCode::FORBIDDEN, "this needs the role 'operate'");
     }
     match read_json::<LevelRequest>(body).await {
@@ -460,7 +460,7 @@
 }
 
 async fn read_json<T: for<'de> Deserialize<'de>>(body: AnswerBody) -> Result<T, Answer> {
-    match collect(body, BODY_BYTES_MAX, BODY_PATIENCE).await {
+    match collect(body, BODY_BYTES_MAX, BODY_TIMEOUT).await {
         Ok(Collected::Whole(bytes)) => serde_json::from_slice(&bytes)
             .map_err(|error| problem(StatusCode::BAD_REQUEST, &error.to_string())),
         Ok(Collected::Partial(_)) => Err(problem(StatusCode::PAYLOAD_TOO_LARGE, "body too large or slow")),
--- a/crates/laurelstall_node/src/background.rs
+++ b/crates/laurelstall_node/src/background.rs
@@ -1,4 +1,4 @@
-//! What a node does in the background, and what it measures of itself.
+//! Background tasks of a node, and its gauges.
 
 use crate::{
     active::Active,
@@ -15,25 +15,24 @@
 use std::sync::{Arc, atomic::Ordering};
 use tokio::time::{Duration, sleep};
 
-/// Pause between two looks whether the machine was suspended: a tenth of the second in which news are everywhere.
-const SUSPENSION_LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between two closings of idle connections.
+/// Interval between checks whether the machine was suspended.
+const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between removals of idle connections.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Puts each configuration that comes in force at the guard, the observer, the callers' rules and the quotas, until
-/// dropped.
+/// Applies each new configuration to the guard, the observer, the caller limits and the quotas. Runs until dropped.
 pub async fn follow_configuration(
     active: Arc<Active>,
     guard: TargetGuard,
     observer: Arc<Observer>,
-    rules: Arc<CallerRules>,
+    caller_limits: Arc<CallerRules>,
     quotas: Arc<Quotas>,
 ) {
     let mut changes = active.changes();
     loop {
         let in_force = active.load();
         observer.set_limits(in_force.configuration.system.observe);
-        rules.set_published(in_force.configuration.system.callers);
+        caller_limits.set_published(in_force.configuration.system.callers);
         guard.update();
         quotas.follow_fleet();
         tokio::select! {
@@ -43,25 +42,25 @@
     }
 }
 
-/// Asks what is new as soon as the machine goes on after it was suspended, until dropped.
+/// Fetches missed updates from peers as soon as the machine resumes from suspension. Runs until dropped.
 ///
-/// A suspended machine misses what others tell it, and its own next exchange may be a second away.
+/// A suspended machine misses the updates of its peers, and its next regular exchange may be a second away.
 pub async fn watch_suspension(clock: Clock, spread: Arc<Spread>) {
-    let mut known_us = clock.suspended_us();
+    let mut previous_us = clock.suspended_us();
     loop {
-        sleep(SUSPENSION_LOOK_INTERVAL).await;
+        sleep(SUSPENSION_CHECK_INTERVAL).await;
         let suspended_us = clock.suspended_us();
-        if suspended_us == known_us {
+        if suspended_us == previous_us {
             continue;
         }
-        let missed_ms = (suspended_us - known_us) / 1_000;
-        log::warn!("this machine was suspended for {missed_ms} ms: others are asked what is new");
-        known_us = suspended_us;
+        let missed_ms = (suspended_us - previous_us) / 1_000;
+        log::warn!("this machine was suspended for {missed_ms} ms: fetching missed updates from peers");
+        previous_us = suspended_us;
         spread.catch_up().await;
     }
 }
 
-/// Closes connections to other nodes that nothing uses, until dropped.
+/// Closes idle connections to other nodes. Runs until dropped.
 pub async fn close_idle(client: PeerClient) {
     loop {
         sleep(HOUSEKEEPING_INTERVAL).await;
@@ -69,7 +68,7 @@
     }
 }
 
-/// Pushes counts and gauges at a steady interval, until dropped.
+/// Sends counters and gauges to statsd at a fixed interval. Runs until dropped.
 pub async fn send_metrics(
     mut sender: MetricSender,
     interval: Duration,
@@ -85,7 +84,7 @@
     }
 }
 
-/// What is measured at the moment when it is asked for.
+/// Returns the current values of the gauges.
 pub fn gauges(guard: &TargetGuard, meter: &Meter, active: &Active) -> Gauges {
     let load = guard.guard().load();
     let fleet_version = active.load().configuration.version(&DocumentName::Fleet);
--- a/crates/laurelstall_node/src/bin/laurelstall-node.rs
+++ b/crates/laurelstall_node/src/bin/laurelstall-node.rs
@@ -1,4 +1,4 @@
-//! The process that runs beside each target.
+//! The node process, which runs next to each target.
 
 use gumdrop::Options;
 use laurelstall_node::{
@@ -24,7 +24,7 @@
         return ExitCode::SUCCESS;
     }
     let Some(file) = arguments.settings else {
-        eprintln!("laurelstall-node: --settings FILE is needed; see --help");
+        eprintln!("laurelstall-node: --settings FILE is required; see --help");
         return ExitCode::from(WRONG_USE);
     };
     run_node(&file, NodeOptions::new)
--- a/crates/laurelstall_node/src/body.rs
+++ b/crates/laurelstall_node/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies as the node passes them on.
+//! Bodies of requests and answers that pass through the node.
 
 use bytes::{Bytes, BytesMut};
 use http_body::{Body, Frame, SizeHint};
@@ -11,45 +11,45 @@
 };
 use tokio::time::{Duration, Instant, Sleep, sleep, timeout_at};
 
-/// A body that is known whole.
+/// Creates a body from bytes that are complete.
 pub fn whole(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body without content.
+/// Creates a body without content.
 pub fn empty() -> AnswerBody {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// What became of collecting the start of a body.
+/// Result of [`collect`].
 #[derive(Debug)]
 pub enum Collected {
-    /// It ended: this is all of it.
+    /// The complete body.
     Whole(Bytes),
-    /// It is longer, or slower, or has trailers: this much was read, and the rest is to come.
+    /// The body is longer or slower than the limits, or has trailers. It starts with the frames read so far.
     Partial(AnswerBody),
 }
 
-/// Reads a body to its end, but at most `bytes_max` and for at most `patience`.
+/// Reads a body to its end, but stops after `bytes_max` bytes or `time_limit`.
 ///
 /// # Errors
 ///
-/// What broke the body.
+/// Returns the error that ended the body early.
 pub async fn collect(
     mut body: AnswerBody,
     bytes_max: usize,
-    patience: Duration,
+    time_limit: Duration,
 ) -> Result<Collected, BodyError> {
     if body.is_end_stream() {
         return Ok(Collected::Whole(Bytes::new()));
     }
-    let until = Instant::now() + patience;
+    let deadline = Instant::now() + time_limit;
     let mut read = BytesMut::new();
     if body.size_hint().lower() > bytes_max as u64 {
         return Ok(Collected::Partial(body));
     }
     loop {
-        let Ok(frame) = timeout_at(until, body.frame()).await else { break };
+        let Ok(frame) = timeout_at(deadline, body.frame()).await else { break };
         let Some(frame) = frame else { return Ok(Collected::Whole(read.freeze())) };
         match frame?.into_data() {
             Ok(data) if read.is_empty() && body.is_end_stream() && data.len() <= bytes_max => {
@@ -57,28 +57,28 @@
             }
             Ok(data) => read.extend_from_slice(&data),
             Err(frame) => {
-                let first = [Frame::data(read.freeze()), frame];
-                return Ok(Collected::Partial(PrefixedBody::new(first.into(), body).boxed_unsync()));
+                let prefix = [Frame::data(read.freeze()), frame];
+                return Ok(Collected::Partial(PrefixedBody::new(prefix.into(), body).boxed_unsync()));
             }
         }
         if read.len() > bytes_max {
             break;
         }
     }
-    let first = if read.is_empty() { Vec::new() } else { vec![Frame::data(read.freeze())] };
-    Ok(Collected::Partial(PrefixedBody::new(first, body).boxed_unsync()))
+    let prefix = if read.is_empty() { Vec::new() } else { vec![Frame::data(read.freeze())] };
+    Ok(Collected::Partial(PrefixedBody::new(prefix, body).boxed_unsync()))
 }
 
-/// A body that starts with frames that were read before.
+/// A body that yields frames that were read before, and then the rest.
 struct PrefixedBody {
-    first: Vec<Frame<Bytes>>,
+    prefix: Vec<Frame<Bytes>>,
     rest: AnswerBody,
 }
 
 impl PrefixedBody {
-    fn new(mut first: Vec<Frame<Bytes>>, rest: AnswerBody) -> Self {
-        first.reverse();
-        Self { first, rest }
+    fn new(mut prefix: Vec<Frame<Bytes>>, rest: AnswerBody) -> Self {
+        prefix.reverse();
+        Self { prefix, rest }
     }
 }
 
@@ -90,32 +90,32 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if let Some(frame) = self.first.pop() {
+        if let Some(frame) = self.prefix.pop() {
             return Poll::Ready(Some(Ok(frame)));
         }
         Pin::new(&mut self.rest).poll_frame(cx)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.first.is_empty() && self.rest.is_end_stream()
+        self.prefix.is_empty() && self.rest.is_end_stream()
     }
 }
 
-/// A body that keeps something alive until it has ended, and tells how it ended.
+/// A body that calls a closure when it ends, with whether it was complete. What the closure owns lives until then.
 pub struct WatchedBody<F: FnOnce(bool)> {
     inner: AnswerBody,
-    at_end: Option<F>,
+    on_end: Option<F>,
 }
 
 impl<F: FnOnce(bool)> WatchedBody<F> {
-    /// Calls `at_end` with whether the body came whole.
-    pub fn new(inner: AnswerBody, at_end: F) -> Self {
-        Self { inner, at_end: Some(at_end) }
+    /// Calls `on_end` once at the end of `inner` or on drop, with whether the body was complete.
+    pub fn new(inner: AnswerBody, on_end: F) -> Self {
+        Self { inner, on_end: Some(on_end) }
     }
 
-    fn end(&mut self, is_whole: bool) {
-        if let Some(at_end) = self.at_end.take() {
-            at_end(is_whole);
+    fn end(&mut self, is_complete: bool) {
+        if let Some(on_end) = self.on_end.take() {
+            on_end(is_complete);
         }
     }
 }
@@ -149,23 +149,23 @@
 
 impl<F: FnOnce(bool)> Drop for WatchedBody<F> {
     fn drop(&mut self) {
-        let is_whole = self.inner.is_end_stream();
-        self.end(is_whole);
+        let is_complete = self.inner.is_end_stream();
+        self.end(is_complete);
     }
 }
 
-/// A body that breaks when nothing of it comes for `limit`.
+/// Wraps a body so that it fails when no frame arrives for `limit`.
 pub fn idle_body(body: AnswerBody, limit: Duration) -> AnswerBody {
     if body.is_end_stream() {
         return body;
     }
-    IdleBody { inner: body, limit, waiting: None }.boxed_unsync()
+    IdleBody { inner: body, limit, idle_timer: None }.boxed_unsync()
 }
 
 struct IdleBody {
     inner: AnswerBody,
     limit: Duration,
-    waiting: Option<Pin<Box<Sleep>>>,
+    idle_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl Body for IdleBody {
@@ -178,12 +178,12 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let polled = Pin::new(&mut self.inner).poll_frame(cx);
         if polled.is_ready() {
-            self.waiting = None;
+            self.idle_timer = None;
             return polled;
         }
         let limit = self.limit;
-        let waiting = self.waiting.get_or_insert_with(|| Box::pin(sleep(limit)));
-        match waiting.as_mut().poll(cx) {
+        let idle_timer = self.idle_timer.get_or_insert_with(|| Box::pin(sleep(limit)));
+        match idle_timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Some(Err("the caller sent nothing for too long".into()))),
             Poll::Pending => Poll::Pending,
         }
--- a/crates/laurelstall_node/src/counters.rs
+++ b/crates/laurelstall_node/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of a node and their way to a statsd server.
+//! Counters of a node, and a client that sends them to a statsd server.
 
 use cadence::{Counted, Gauged, NopMetricSink, StatsdClient, UdpMetricSink};
 use std::{
@@ -6,19 +6,19 @@
     sync::atomic::{AtomicU64, Ordering},
 };
 
-/// Prefix of every metric.
+/// Prefix of all metric names.
 pub const METRIC_PREFIX: &str = "laurelstall";
 
 macro_rules! counters {
     ($($(#[doc = $doc:literal])+ $name:ident,)+) => {
-        /// Counts since the start of the node.
+        /// Counters since the start of the node.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[doc = $doc])+ pub $name: AtomicU64,)+
         }
 
         impl Counters {
-            /// All counts with their names, as metrics and the administration API show them.
+            /// Returns the names and values of all counters, as in metrics and the administration API.
             pub fn all(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name.load(Ordering::Relaxed)),)+]
             }
@@ -27,90 +27,90 @@
 }
 
 counters! {
-    /// Calls taken from callers.
+    /// Calls accepted from callers.
     calls,
     /// Calls answered by a target.
     answered,
-    /// Calls told *not run*.
+    /// Calls answered with the outcome `not-run`.
     not_run,
-    /// Calls told *unknown*.
+    /// Calls answered with the outcome `unknown`.
     unknown,
-    /// Requests refused for a fault of their own: bad head, no service, too large.
+    /// Invalid requests that were refused: malformed head, no such service, body too large.
     rejected,
-    /// Connections of callers refused because there are too many.
+    /// Connections of callers refused because there were too many.
     connections_refused,
     /// Attempts sent to guards.
     attempts,
-    /// Further attempts after the first, hand-backs not counted.
+    /// Attempts after the first of a call, not counting those after hand-backs.
     retries,
-    /// Further attempts that were wanted but not in the retry budget.
+    /// Retries that the retry budget did not allow.
     retries_refused,
-    /// Further attempts after a refusal that is taken to have cost no target anything.
+    /// Retries that are not charged to the retry budget, since the refusal did not cost any target work.
     retries_free,
-    /// Calls handed back by a guard while they waited.
+    /// Queued calls that a guard handed back.
     hand_backs,
-    /// Second attempts that ran beside the first.
+    /// Hedges: second attempts in parallel with the first.
     hedges,
-    /// Answers whose body broke off.
+    /// Answers whose body ended early.
     bodies_broken,
-    /// Attempts that this node's guard took.
+    /// Attempts that this node's guard accepted.
     guard_attempts,
     /// Attempts that this node's guard refused or handed back.
     guard_refused,
     /// Attempts whose outcome at the target is unknown.
     guard_unknown,
-    /// Requests that were sent to the own target.
+    /// Requests sent to the local target.
     target_arrivals,
-    /// Requests that were sent to the own target after the guard began to drain: they had waited here.
+    /// Queued requests sent to the local target after the guard began to drain.
     late_starts,
-    /// Answers of the own target that it has no room.
+    /// Answers of the local target that it is overloaded.
     target_sheds,
-    /// Answers of the own target that it is another one than was named.
+    /// Answers of the local target that it is another target than the request names.
     target_denials,
-    /// Times that the own target was looked at to see whether it ended.
+    /// Checks whether the local target has crashed.
     end_looks,
-    /// Ends of the own target under requests at work there.
+    /// Crashes of the local target while requests were running.
     target_ends,
-    /// Tickets given out by this node's guard.
+    /// Tickets issued by this node's guard.
     tickets,
-    /// Repeats of a ticket that got the kept answer.
+    /// Repeated requests with a ticket that got the stored answer.
     tickets_kept,
     /// Probes sent.
     probes,
-    /// Times that the own target was asked how fast it works.
+    /// Queries of the local target's load.
     pace_looks,
-    /// Times that the own target was asked who it is.
+    /// Queries of the local target's identity.
     identity_looks,
-    /// Calls refused since they bring no key and need one.
+    /// Calls refused because they have no key and need one.
     keys_missing,
-    /// Calls refused since no workspace has their key.
+    /// Calls refused because no workspace has their key.
     keys_unknown,
-    /// Calls refused since what is known of keys is too old.
+    /// Calls refused because the known keys are too old.
     keys_stale,
-    /// Calls refused since their workspace's quota is spent.
+    /// Calls refused because the quota of their workspace is exhausted.
     quota_spent,
-    /// Calls refused since no node that counts their workspace's calls answered.
+    /// Calls refused because no node that counts the calls of their workspace answered.
     quota_unanswered,
-    /// Lines of the decision log dropped.
+    /// Dropped lines of the decision log.
     decisions_dropped,
-    /// Runs of a program that failed.
+    /// Failed runs of routing programs.
     program_errors,
 }
 
-/// Adds one.
+/// Increments a counter by one.
 pub fn count(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Sends counts to statsd.
+/// Sends counters and gauges to a statsd server.
 #[derive(Debug)]
 pub struct MetricSender {
     client: StatsdClient,
-    last: Vec<u64>,
+    previous: Vec<u64>,
 }
 
 impl MetricSender {
-    /// Sends to `address`, or nowhere.
+    /// Creates a sender to `address`. With `None`, nothing is sent.
     pub fn new(address: Option<SocketAddr>, host: &str) -> Self {
         let sink = address.and_then(|address| {
             let socket = UdpSocket::bind("0.0.0.0:0").ok()?;
@@ -121,21 +121,21 @@
             Some(sink) => StatsdClient::builder(METRIC_PREFIX, sink),
             None => StatsdClient::builder(METRIC_PREFIX, NopMetricSink),
         };
-        // A metric that is lost is made up for by the next: counts are sent as differences.
+        // Errors are ignored: metrics are sent over UDP and may get lost anyway.
         let client = builder.with_tag("host", host).with_error_handler(|_| {}).build();
-        Self { client, last: Vec::new() }
+        Self { client, previous: Vec::new() }
     }
 
-    /// Sends what was counted since the last sending, and the gauges as they are.
+    /// Sends the increase of each counter since the previous call, and the values of the gauges.
     pub fn send(&mut self, counters: &Counters, gauges: &[(&str, u64)]) {
         let all = counters.all();
-        self.last.resize(all.len(), 0);
-        for ((name, value), last) in all.iter().zip(&mut self.last) {
-            let grown = value - *last;
-            if grown > 0 {
-                self.client.count_with_tags(name, grown as i64).send();
+        self.previous.resize(all.len(), 0);
+        for ((name, value), previous) in all.iter().zip(&mut self.previous) {
+            let increase = value - *previous;
+            if increase > 0 {
+                self.client.count_with_tags(name, increase as i64).send();
             }
-            *last = *value;
+            *previous = *value;
         }
         for (name, value) in gauges {
             self.client.gauge_with_tags(name, *value).send();
--- a/crates/laurelstall_node/src/decision_log.rs
+++ b/crates/laurelstall_node/src/decision_log.rs
@@ -1,7 +1,7 @@
-//! One line for each decision that touches a request: each attempt, and how each call ended.
+//! A log with one line for each attempt and for the end of each call.
 //!
-//! A request never waits for its lines: they are rendered by a thread that reads a bounded queue.
-//! Calls that ended well have a bounded number of lines a second; what was left out is counted.
+//! Requests never wait for the log: a thread reads lines from a bounded queue, formats and writes them. Lines of
+//! successful calls are rate limited; dropped lines are counted.
 
 use crate::{
     counters::{Counters, count},
@@ -20,57 +20,58 @@
     time::Duration,
 };
 
-/// Log target of decisions; lines on it go where the settings say, apart from other logs.
+/// Log target of decisions, which are written separately from other log lines.
 pub const DECISION_TARGET: &str = "laurelstall::decision";
-/// Pause between two writings of what has come.
+/// Interval between writes of queued lines.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// Decisions kept for the administration API.
+/// Maximum number of recent decisions kept for the administration API.
 pub const RECENT_MAX: usize = 256;
-/// Lines a second of calls that went well; those of calls that did not are written besides.
-const GOOD_LINES_PER_S: u32 = 400;
-/// Length of a second of the time of day in ms.
+/// Maximum number of lines per second of successful calls. Lines of failed calls are not limited.
+const SUCCESS_LINES_PER_S: u32 = 400;
+/// Milliseconds per second.
 const SECOND_MS: u64 = 1_000;
 
-/// One attempt of a call: where it went, why, and how it ended.
+/// An attempt of a call: the chosen target, the reason for the choice and the outcome.
 #[derive(Debug, Clone, Serialize)]
 pub struct Decision {
-    /// The call.
+    /// Id of the call.
     pub call: u64,
-    /// The caller's own id of the request; empty when it has none.
+    /// Request id from the caller; empty when there is none.
     pub request_id: String,
-    /// What makes it the same request as another one, in hexadecimal digits; empty when it was not read.
+    /// Digest that identifies equal requests, in hexadecimal digits; empty when it was not computed.
     pub digest: String,
-    /// Which attempt of it, from 1.
+    /// Number of the attempt within the call, from 1.
     pub attempt: u32,
-    /// Its importance; above that of any route when the own target makes it for a request it runs.
+    /// Importance of the call. A nested call, which the local target makes for a request it runs, has a higher one than
+    /// any route.
     pub importance: u8,
-    /// Whether its caller tried before.
+    /// Whether the caller has sent this call before.
     pub is_return: bool,
-    /// Time that the call had left when the attempt was sent, in µs.
+    /// Remaining time budget of the call when the attempt was sent, in µs.
     pub left_us: u64,
     /// Full name of the service.
     pub service: String,
-    /// Version of the team's document that was followed.
+    /// Version of the team's document that was used.
     #[serde(serialize_with = "as_text")]
     pub version: Version,
-    /// Version of the list of hosts that was chosen from.
+    /// Version of the host list that was used.
     #[serde(serialize_with = "as_text")]
     pub fleet_version: Version,
-    /// The target chosen; empty when none was.
+    /// The chosen target; empty when there was none.
     pub target: String,
-    /// Why.
+    /// Reason for the choice.
     pub why: String,
-    /// Its expected loss in µs.
+    /// Expected cost of the chosen target, in µs.
     pub expected_us: u64,
-    /// Age in µs of the hint that this rests on; none when there was none.
+    /// Age of the target's hint when it was chosen, in µs. `None` when there was no hint.
     pub hint_age_us: Option<u64>,
-    /// The next best and its expected loss in µs.
+    /// Name and expected cost in µs of the second-best target. `None` when there was none.
     pub runner_up: Option<(String, u64)>,
-    /// Targets that could have been chosen.
+    /// Number of targets that were eligible.
     pub targets: usize,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: String,
-    /// After how many µs.
+    /// Duration of the attempt in µs.
     pub took_us: u64,
 }
 
@@ -94,29 +95,29 @@
     serializer.collect_str(version)
 }
 
-/// How a call ended: what its caller was told.
+/// The end of a call, with the answer to its caller.
 #[derive(Debug, Clone, Serialize)]
 pub struct CallEnd {
-    /// The call.
+    /// Id of the call.
     pub call: u64,
-    /// The caller's own id of the request; empty when it has none.
+    /// Request id from the caller; empty when there is none.
     pub request_id: String,
     /// Method of the request.
     pub method: String,
-    /// Host name that it was for.
+    /// Host name in the request.
     pub host: String,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// Version of the team's document in force; 0 when there was none.
+    /// Version of the team's document that was used; 0 when there was none.
     #[serde(serialize_with = "as_text")]
     pub version: Version,
-    /// Status of the answer.
+    /// HTTP status of the answer.
     pub status: u16,
     /// `answered`, `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Why it was not answered.
+    /// Reason why the call was not answered.
     pub reason: String,
-    /// After how many µs.
+    /// Duration of the call in µs.
     pub took_us: u64,
 }
 
@@ -129,7 +130,7 @@
     }
 }
 
-/// A line to be written.
+/// A line of the decision log.
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum Line {
@@ -146,7 +147,7 @@
     }
 }
 
-/// A line with its time of day.
+/// A line with its wall-clock time.
 #[derive(Debug, Serialize)]
 struct TimedLine {
     unix_ms: u64,
@@ -154,24 +155,24 @@
     line: Line,
 }
 
-/// Lines of calls that went well in the present second.
+/// Rate limit for lines of successful calls: the number of lines in the current second.
 #[derive(Debug, Default)]
-struct Allowance {
+struct RateLimit {
     second: u64,
     used: u32,
 }
 
-/// The bounded way of decisions to their log.
+/// Queues decisions for the thread that writes them, and keeps the most recent ones.
 #[derive(Debug)]
 pub struct DecisionLog {
     sender: Option<SyncSender<TimedLine>>,
     recent: Arc<Mutex<VecDeque<Decision>>>,
-    allowance: Mutex<Allowance>,
+    rate_limit: Mutex<RateLimit>,
     counters: Arc<Counters>,
 }
 
 impl DecisionLog {
-    /// Starts the writer; with [`DecisionFormat::Off`] there is none.
+    /// Starts the writer thread, unless the format is [`DecisionFormat::Off`]. The queue holds `waiting_max` lines.
     pub fn new(format: DecisionFormat, waiting_max: usize, counters: Arc<Counters>) -> Self {
         let recent = Arc::new(Mutex::new(VecDeque::with_capacity(RECENT_MAX)));
         let sender = (format != DecisionFormat::Off).then(|| {
@@ -179,52 +180,52 @@
             let recent = recent.clone();
             let writer = thread::Builder::new().name("decisions".to_owned());
             let started = writer.spawn(move || write_decisions(&receiver, format, &recent));
-            started.expect("the system has room for one more thread");
+            started.expect("the decision log thread starts");
             sender
         });
-        Self { sender, recent, allowance: Mutex::default(), counters }
+        Self { sender, recent, rate_limit: Mutex::default(), counters }
     }
 
-    /// Whether decisions are written at all.
+    /// Returns whether decisions are logged.
     pub fn is_on(&self) -> bool {
         self.sender.is_some()
     }
 
-    /// Hands a decision to the writer, or drops and counts it.
+    /// Queues a decision, or drops and counts it when the queue is full or the rate limit is reached.
     pub fn write(&self, decision: Decision) {
-        let is_good = decision.outcome == "answered";
-        self.send(Line::Attempt(decision), is_good);
+        let is_success = decision.outcome == "answered";
+        self.send(Line::Attempt(decision), is_success);
     }
 
-    /// Hands the end of a call to the writer, or drops and counts it.
+    /// Queues the end of a call, or drops and counts it when the queue is full or the rate limit is reached.
     pub fn write_end(&self, end: CallEnd) {
-        let is_good = end.status < 400;
-        self.send(Line::Call(end), is_good);
+        let is_success = end.status < 400;
+        self.send(Line::Call(end), is_success);
     }
 
-    /// The latest decisions, oldest first.
+    /// Returns up to `most` recent decisions, oldest first.
     pub fn recent(&self, most: usize) -> Vec<Decision> {
         let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let skip = recent.len().saturating_sub(most);
         recent.iter().skip(skip).cloned().collect()
     }
 
-    fn send(&self, line: Line, is_good: bool) {
+    fn send(&self, line: Line, is_success: bool) {
         let Some(sender) = &self.sender else { return };
         let unix_ms = unix_ms();
-        let is_allowed = !is_good || self.take_allowance(unix_ms / SECOND_MS);
+        let is_allowed = !is_success || self.take_line(unix_ms / SECOND_MS);
         if !is_allowed || sender.try_send(TimedLine { unix_ms, line }).is_err() {
             count(&self.counters.decisions_dropped);
         }
     }
 
-    fn take_allowance(&self, second: u64) -> bool {
-        let mut allowance = self.allowance.lock().unwrap_or_else(PoisonError::into_inner);
-        if allowance.second != second {
-            *allowance = Allowance { second, used: 0 };
+    fn take_line(&self, second: u64) -> bool {
+        let mut rate_limit = self.rate_limit.lock().unwrap_or_else(PoisonError::into_inner);
+        if rate_limit.second != second {
+            *rate_limit = RateLimit { second, used: 0 };
         }
-        allowance.used += 1;
-        allowance.used <= GOOD_LINES_PER_S
+        rate_limit.used += 1;
+        rate_limit.used <= SUCCESS_LINES_PER_S
     }
 }
 
@@ -234,7 +235,7 @@
     recent: &Mutex<VecDeque<Decision>>,
 ) {
     loop {
-        // Waiting in the channel would make each sender wake this thread.
+        // Sleeping instead of blocking on the channel keeps senders from waking this thread for each line.
         thread::sleep(WRITE_INTERVAL);
         for line in receiver.try_iter() {
             write_line(line, format, recent);
@@ -245,7 +246,7 @@
     }
 }
 
-/// Whether the log is gone; what was still waiting is written.
+/// Returns whether the log was dropped. Writes a line that is still queued.
 fn is_closed(
     receiver: &Receiver<TimedLine>,
     format: DecisionFormat,
--- a/crates/laurelstall_node/src/idle_stream.rs
+++ b/crates/laurelstall_node/src/idle_stream.rs
@@ -1,4 +1,4 @@
-//! A caller's connection that breaks when the caller reads nothing for long.
+//! A caller's connection that fails when the caller reads nothing for too long.
 
 use std::{
     future::Future,
@@ -12,28 +12,29 @@
     time::{Duration, Instant, Sleep, sleep_until},
 };
 
-/// A connection with a longest wait for the other side to read.
+/// A TCP connection with a write timeout.
 #[derive(Debug)]
 pub struct IdleStream {
     inner: TcpStream,
     limit: Duration,
-    waiting: Option<Pin<Box<Sleep>>>,
+    write_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl IdleStream {
-    /// Breaks `inner` when a write has waited for `limit`.
+    /// Wraps `inner` so that a write fails with [`io::ErrorKind::TimedOut`] after it was blocked for `limit`.
     pub fn new(inner: TcpStream, limit: Duration) -> Self {
-        Self { inner, limit, waiting: None }
+        Self { inner, limit, write_timer: None }
     }
 
-    fn watch<T>(&mut self, cx: &mut Context<'_>, polled: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn check_timeout<T>(&mut self, cx: &mut Context<'_>, polled: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if polled.is_ready() {
-            self.waiting = None;
+            self.write_timer = None;
             return polled;
         }
         let limit = self.limit;
-        let waiting = self.waiting.get_or_insert_with(|| Box::pin(sleep_until(Instant::now() + limit)));
-        match waiting.as_mut().poll(cx) {
+        let write_timer =
+            self.write_timer.get_or_insert_with(|| Box::pin(sleep_until(Instant::now() + limit)));
+        match write_timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -53,7 +54,7 @@
 impl AsyncWrite for IdleStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.inner).poll_write(cx, buf);
-        self.watch(cx, polled)
+        self.check_timeout(cx, polled)
     }
 
     fn poll_write_vectored(
@@ -62,7 +63,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.inner).poll_write_vectored(cx, bufs);
-        self.watch(cx, polled)
+        self.check_timeout(cx, polled)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/laurelstall_node/src/lib.rs
+++ b/crates/laurelstall_node/src/lib.rs
@@ -1,5 +1,5 @@
-//! The node: the entry that takes callers' requests, the guard of the target beside it, and the
-//! administration API, wired together.
+//! The node: the entry that accepts callers' requests, the guard of the local target, and the
+//! administration API.
 
 pub mod active;
 pub mod admin;
@@ -34,7 +34,7 @@
 mod ticket_runs;
 pub mod wall_clock;
 
-/// The types most callers need.
+/// The types that most users of this crate need.
 pub mod prelude {
     pub use crate::{
         counters::Counters,
--- a/crates/laurelstall_node/src/listener.rs
+++ b/crates/laurelstall_node/src/listener.rs
@@ -1,4 +1,4 @@
-//! Taking connections of callers and operators.
+//! Accepts connections of callers and operators.
 
 use crate::{
     body::whole,
@@ -26,18 +26,18 @@
     time::{Duration, timeout},
 };
 
-/// Connections above the limit that are still told so.
+/// Maximum number of connections above the limit that are answered with a refusal at the same time.
 const REFUSED_CONNECTIONS_MAX: usize = 64;
-/// Longest time to tell them.
+/// Maximum time to answer a connection with a refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whoever answers requests.
+/// Answers HTTP requests.
 pub trait Responder: Send + Sync + fmt::Debug {
-    /// Answers one.
+    /// Answers a request.
     fn respond(&self, request: Request<AnswerBody>) -> BoxFuture<'_, Response<AnswerBody>>;
 
-    /// Whether a request may be worked on before others that came before it on its connection are answered: only where
-    /// it does no harm when its caller sends it again, since the answer before it was the connection's last.
+    /// Returns whether a pipelined request may run before earlier requests of its connection are answered. It must be safe to
+    /// repeat: when an earlier answer closes the connection, the caller sends it again.
     fn may_run_beside(&self, _head: &Parts) -> bool {
         false
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Serves HTTP/1.1 and HTTP/2 on one address.
+/// Serves HTTP/1.1 and HTTP/2 on an address.
 #[derive(Debug)]
 pub struct HttpListener {
     responder: Arc<dyn Responder>,
@@ -63,7 +63,7 @@
 }
 
 impl HttpListener {
-    /// Hands requests to `responder` until `stopping` turns true.
+    /// Passes requests to `responder` until `stopping` becomes true.
     pub fn new(
         responder: Arc<dyn Responder>,
         limits: Arc<CallerRules>,
@@ -73,35 +73,35 @@
         Self { responder, limits, counters, stopping }
     }
 
-    /// Takes connections until it is time to stop; returns when the last one has ended.
+    /// Accepts connections until the node stops. Returns when the last connection has ended.
     ///
-    /// Dropping it breaks all connections, as a crash would.
+    /// Dropping the future aborts all connections, as a crash would.
     pub async fn serve(mut self, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(self.limits.now().connections));
-        let refused_places = Arc::new(Semaphore::new(REFUSED_CONNECTIONS_MAX));
-        let mut serving = JoinSet::new();
+        let permits = Arc::new(Semaphore::new(self.limits.now().connections));
+        let refusal_permits = Arc::new(Semaphore::new(REFUSED_CONNECTIONS_MAX));
+        let mut connections = JoinSet::new();
         loop {
-            while serving.try_join_next().is_some() {}
+            while connections.try_join_next().is_some() {}
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
                 _ = self.stopping.wait_for(|is_stopping| *is_stopping) => break,
             };
             let Ok((stream, _)) = accepted else {
-                // Out of descriptors, or a connection that was gone at once.
+                // The process is out of file descriptors, or the connection was reset before it was accepted.
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
-            let Ok(place) = places.clone().try_acquire_owned() else {
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
                 count(&self.counters.connections_refused);
-                if let Ok(place) = refused_places.clone().try_acquire_owned() {
-                    serving.spawn(async move {
-                        let _place = place;
+                if let Ok(permit) = refusal_permits.clone().try_acquire_owned() {
+                    connections.spawn(async move {
+                        let _permit = permit;
                         refuse_connection(stream).await;
                     });
                 }
                 continue;
             };
-            // Without it, small answers wait for the caller's acknowledgement.
+            // Nagle's algorithm would delay small answers until the caller acknowledges earlier ones.
             let _ = stream.set_nodelay(true);
             let idle = Duration::from_millis(self.limits.now().idle_timeout_ms);
             let options = ConnectionOptions {
@@ -109,16 +109,16 @@
                 limits: self.limits.clone(),
                 stopping: self.stopping.clone(),
             };
-            serving.spawn(async move {
-                let _place = place;
+            connections.spawn(async move {
+                let _permit = permit;
                 if let Err(error) = serve_ordered(IdleStream::new(stream, idle), options).await {
                     log::debug!("caller's connection ended: {error}");
                 }
             });
         }
         drop(listener);
-        // Each connection ends by itself once it has answered what it has read.
-        while serving.join_next().await.is_some() {}
+        // Each connection ends after it has answered the requests that it has read.
+        while connections.join_next().await.is_some() {}
     }
 }
 
@@ -151,6 +151,6 @@
     });
     let builder = Builder::new(TokioExecutor::new());
     let served = builder.serve_connection(TokioIo::new(stream), service);
-    // Whoever does not ask within this time is closed without an answer.
+    // A connection without a request within this time is closed without an answer.
     let _ = timeout(REFUSAL_TIMEOUT, served).await;
 }
--- a/crates/laurelstall_node/src/logging.rs
+++ b/crates/laurelstall_node/src/logging.rs
@@ -1,7 +1,7 @@
-//! Where log lines go: through a bounded queue to a thread that writes them.
+//! Logging through a bounded queue to a writer thread.
 //!
-//! A full queue drops lines and counts them; whoever logs never waits. As JSON, all lines go to
-//! standard output; for people, decisions go to standard output and all others to standard error.
+//! Logging never blocks: when the queue is full, lines are dropped and counted. In JSON format, all lines go to
+//! standard output. In human-readable format, decisions go to standard output and all other lines to standard error.
 
 use crate::{decision_log::DECISION_TARGET, wall_clock::unix_ms};
 use fern::Dispatch;
@@ -19,20 +19,20 @@
     time::Duration,
 };
 
-/// Lines that may wait to be written.
-const LINES_WAITING_MAX: usize = 8_192;
-/// Pause between two writings of what has come.
+/// Capacity of the queue in lines.
+const QUEUED_LINES_MAX: usize = 8_192;
+/// Interval between writes of queued lines.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait at the end of the process for the last lines to be written.
+/// Maximum time to wait at process exit until the last lines are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Lines dropped because the queue was full.
 static LINES_DROPPED: AtomicU64 = AtomicU64::new(0);
-/// Lines handed to the writer, and written by it.
+/// Lines queued for the writer thread, and lines written by it.
 static LINES_SENT: AtomicU64 = AtomicU64::new(0);
 static LINES_WRITTEN: AtomicU64 = AtomicU64::new(0);
 
-/// Where a line is written.
+/// The stream that a line is written to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Output {
     Standard,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Waits a short while for the last lines, so that the reason of an end is not lost.
+    /// Waits for up to [`FLUSH_TIMEOUT`] until all queued lines are written, so that the last messages are not lost.
     fn flush(&self) {
         let step = Duration::from_millis(10);
         for _ in 0..FLUSH_TIMEOUT.as_millis() / step.as_millis() {
@@ -78,7 +78,7 @@
     }
 }
 
-/// A line that is no decision, as JSON.
+/// A log line other than a decision, as JSON.
 #[derive(Debug, Serialize)]
 struct JsonLine<'a> {
     event: &'static str,
@@ -101,28 +101,28 @@
     text
 }
 
-/// Lines dropped since the start because the queue was full.
+/// Returns the number of lines dropped since the start because the queue was full.
 pub fn lines_dropped() -> u64 {
     LINES_DROPPED.load(Ordering::Relaxed)
 }
 
-/// Starts logging; the level can be changed later with [`set_level`].
+/// Starts logging. [`set_level`] changes the level later.
 ///
 /// # Errors
 ///
-/// When logging was started before.
+/// Returns an error when a logger is already set.
 pub fn start(level: &str, format: DecisionFormat) -> Result<(), log::SetLoggerError> {
-    let (sender, receiver) = sync_channel(LINES_WAITING_MAX);
+    let (sender, receiver) = sync_channel(QUEUED_LINES_MAX);
     let is_json = format == DecisionFormat::Json;
     let queue: Box<dyn Log> = Box::new(LineQueue { sender: Mutex::new(sender), is_json });
     Dispatch::new().level(LevelFilter::Trace).chain(queue).apply()?;
     let writer = thread::Builder::new().name("log".to_owned());
-    writer.spawn(move || write_lines(&receiver)).expect("the system has room for one more thread");
+    writer.spawn(move || write_lines(&receiver)).expect("the log thread starts");
     set_level(level);
     Ok(())
 }
 
-/// Changes the level; false when there is no such level.
+/// Changes the level. Returns false when there is no such level.
 pub fn set_level(level: &str) -> bool {
     let Ok(level) = level.parse::<LevelFilter>() else { return false };
     log::set_max_level(level);
@@ -131,7 +131,7 @@
 
 fn write_lines(receiver: &Receiver<(Output, String)>) {
     loop {
-        // Waiting in the channel would make each sender wake this thread.
+        // Sleeping instead of blocking on the channel keeps senders from waking this thread for each line.
         thread::sleep(WRITE_INTERVAL);
         let (mut standard, mut error, mut lines) = (String::new(), String::new(), 0);
         for (output, line) in receiver.try_iter() {
@@ -142,7 +142,7 @@
         if lines == 0 {
             continue;
         }
-        // Whoever reads the lines may have gone; the node goes on without.
+        // The reader of the output may have exited. The node continues without it.
         let _ = io::stdout().lock().write_all(standard.as_bytes()).and_then(|()| io::stdout().flush());
         let _ = io::stderr().lock().write_all(error.as_bytes());
         LINES_WRITTEN.fetch_add(lines, Ordering::Relaxed);
--- a/crates/laurelstall_node/src/metrics.rs
+++ b/crates/laurelstall_node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms as text, for whoever pulls them.
+//! Counters, gauges and latency histograms as text for Prometheus.
 
 use crate::{counters::Counters, logging::lines_dropped};
 use prometheus_client::{
@@ -9,25 +9,25 @@
 };
 use std::{fmt, sync::Arc};
 
-/// Upper bounds of the buckets in seconds: steps of about 1.6 from 0.2 ms to 8 s.
+/// Upper bounds of the histogram buckets in seconds.
 const BUCKETS_S: [f64; 20] = [
     0.0002, 0.0005, 0.001, 0.002, 0.004, 0.007, 0.012, 0.02, 0.035, 0.06, 0.1, 0.15, 0.25, 0.4, 0.65, 1.0,
     1.6, 2.5, 4.0, 8.0,
 ];
 
-/// Gauges as they are at the moment of a pull: names and values.
+/// Names and current values of gauges.
 pub type Gauges = Vec<(&'static str, u64)>;
 
-/// Latencies of a node.
+/// Latency histograms of a node.
 #[derive(Debug)]
 pub struct Latencies {
-    /// Calls, from the whole head to the head of the answer.
+    /// Duration of calls, from the complete request head to the head of the answer.
     pub calls: Histogram,
-    /// Attempts, as the entry sees them.
+    /// Duration of attempts, measured at the entry.
     pub attempts: Histogram,
-    /// Waits at the own guard of calls that were admitted.
+    /// Time that admitted calls waited at the local guard.
     pub waits: Histogram,
-    /// Runs at the own target, from the slot to the end of a short answer.
+    /// Duration of runs at the local target, from admission to the end of a short answer.
     pub runs: Histogram,
 }
 
@@ -42,24 +42,24 @@
     }
 }
 
-/// An empty histogram of durations.
+/// Creates an empty histogram of durations.
 pub fn latency_histogram() -> Histogram {
     Histogram::new(BUCKETS_S)
 }
 
-/// Notes a duration of so many µs.
+/// Records a duration in µs.
 pub fn observe_us(histogram: &Histogram, duration_us: u64) {
     histogram.observe(duration_us as f64 / 1e6);
 }
 
-/// Counters and gauges, read when they are pulled.
+/// Collects counters and gauges when metrics are scraped.
 #[derive(Debug)]
-struct Counts {
+struct CounterCollector {
     counters: Arc<Counters>,
     gauges: Gauges,
 }
 
-impl Collector for Counts {
+impl Collector for CounterCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
         let dropped = ("log_lines_dropped", lines_dropped());
         for (name, value) in self.counters.all().into_iter().chain([dropped]) {
@@ -76,7 +76,7 @@
     }
 }
 
-/// All metrics as text in the exposition format that pulling collectors read.
+/// Encodes all metrics as text for Prometheus.
 pub fn text(
     counters: Arc<Counters>,
     latencies: &Latencies,
@@ -90,10 +90,10 @@
     registry.register("target_run_seconds", "runs at the target", latencies.runs.clone());
     let help = "time from the first read of a version to its being in force";
     registry.register("version_delay_seconds", help, version_delays.clone());
-    registry.register_collector(Box::new(Counts { counters, gauges }));
+    registry.register_collector(Box::new(CounterCollector { counters, gauges }));
     let mut text = String::new();
     if let Err(error) = encode(&mut text, &registry) {
-        log::error!("metrics cannot be written: {error}");
+        log::error!("metrics cannot be encoded: {error}");
     }
     text
 }
--- a/crates/laurelstall_node/src/milestones.rs
+++ b/crates/laurelstall_node/src/milestones.rs
@@ -1,14 +1,14 @@
-//! When a node that starts reached what callers wait for, written down once each.
+//! Milestones of a node's start, each logged once.
 
 use std::{
     fmt,
     sync::atomic::{AtomicBool, Ordering},
 };
 
-/// A step of a start after the node listens.
+/// A milestone of the start, after the node listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Milestone {
-    /// A caller's first call was taken.
+    /// The first call was accepted.
     FirstCall,
     /// The first call was answered with success.
     FirstAnswer,
@@ -17,13 +17,13 @@
 impl fmt::Display for Milestone {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::FirstCall => "first call taken",
+            Self::FirstCall => "first call accepted",
             Self::FirstAnswer => "first call answered with success",
         })
     }
 }
 
-/// The steps reached so far.
+/// The milestones reached so far.
 #[derive(Debug, Default)]
 pub struct Milestones {
     first_call: AtomicBool,
@@ -31,13 +31,13 @@
 }
 
 impl Milestones {
-    /// Notes that a step was reached so long after the node's start; says so the first time.
+    /// Records that a milestone was reached `elapsed_ms` after the start of the node. Logs it and returns true the first time.
     pub fn note(&self, milestone: Milestone, elapsed_ms: u64) -> bool {
-        let reached = match milestone {
+        let is_reached = match milestone {
             Milestone::FirstCall => &self.first_call,
             Milestone::FirstAnswer => &self.first_answer,
         };
-        let is_first = !reached.load(Ordering::Relaxed) && !reached.swap(true, Ordering::Relaxed);
+        let is_first = !is_reached.load(Ordering::Relaxed) && !is_reached.swap(true, Ordering::Relaxed);
         if is_first {
             log::info!("{milestone}, {elapsed_ms} ms after the start");
         }
--- a/crates/laurelstall_node/src/node.rs
+++ b/crates/laurelstall_node/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole node: its parts, started and stopped together.
+//! Starts and stops the components of a node together.
 
 use crate::{
     active::Active,
@@ -54,34 +54,34 @@
 };
 
 quick_error! {
-    /// A node that could not start.
+    /// An error that keeps a node from starting.
     #[derive(Debug)]
     pub enum NodeError {
-        /// An address could not be listened on.
+        /// The node cannot listen on an address.
         Listen(address: SocketAddr, error: io::Error) {
-            display("{address}: {error}")
+            display("cannot listen on {address}: {error}")
             source(error)
         }
     }
 }
 
-/// Sockets that are listened on already.
+/// The listening sockets of a node.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers.
+    /// Accepts callers.
     pub entry: StdListener,
-    /// For other nodes.
+    /// Accepts other nodes.
     pub peer: StdListener,
-    /// For operators.
+    /// Accepts operators.
     pub admin: StdListener,
 }
 
 impl Listeners {
-    /// Listens on the addresses of the settings.
+    /// Binds the addresses in the settings.
     ///
     /// # Errors
     ///
-    /// [`NodeError::Listen`] with the address that is taken or not there.
+    /// Returns [`NodeError::Listen`] with the address that cannot be bound.
     pub fn bind(settings: &Settings) -> Result<Self, NodeError> {
         let bind = |address: SocketAddr| {
             StdListener::bind(address).map_err(|error| NodeError::Listen(address, error))
@@ -94,30 +94,30 @@
     }
 }
 
-/// What a node is started with.
+/// Options for starting a node.
 pub struct NodeOptions {
-    /// Its settings.
+    /// The settings of the node.
     pub settings: Settings,
-    /// Its sockets.
+    /// The listening sockets.
     pub listeners: Listeners,
-    /// Its way to choose targets.
+    /// Creates the chooser of targets for each service.
     pub chooser: ChooserFactory,
-    /// Whether its guard acts as behind a plain balancer.
+    /// Whether the guard queues without limit and never hands calls back, as behind a plain load balancer.
     pub is_plain: bool,
-    /// Seed of its random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// The network to other nodes.
+    /// Network link to other nodes.
     pub link: Arc<dyn Link>,
-    /// The platform, if it is not the one of the settings.
+    /// The platform to read from. `None` uses the address in the settings.
     pub platform: Option<Arc<dyn PlatformSource>>,
-    /// The header fields that callers and targets know.
+    /// The header fields used towards callers and targets.
     pub dialect: Arc<dyn HeaderDialect>,
-    /// Its clock.
+    /// The clock of the node.
     pub clock: Clock,
 }
 
 impl NodeOptions {
-    /// Options for a node as it runs beside a target.
+    /// Default options for a node that runs next to a target.
     pub fn new(settings: Settings, listeners: Listeners) -> Self {
         let chooser: ChooserFactory = Arc::new(|| Box::new(LeastWait::default()));
         Self {
@@ -143,35 +143,35 @@
 /// A running node.
 #[derive(Debug)]
 pub struct Node {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub entry_address: SocketAddr,
-    /// Where other nodes connect.
+    /// Address that other nodes connect to.
     pub peer_address: SocketAddr,
-    /// Where operators connect.
+    /// Address that operators connect to.
     pub admin_address: SocketAddr,
-    /// Counts.
+    /// Counters of the node.
     pub counters: Arc<Counters>,
-    /// The spreading of configuration.
+    /// Replicates the configuration between nodes.
     pub spread: Arc<Spread>,
-    /// The configuration in force.
+    /// The current configuration.
     pub active: Arc<Active>,
-    /// The guard.
+    /// The guard of the local target.
     pub guard: TargetGuard,
-    /// The entry.
+    /// The entry that accepts callers' requests.
     pub entry: Arc<Entry>,
-    rules: Arc<CallerRules>,
+    caller_limits: Arc<CallerRules>,
     admin: Arc<Admin>,
     platform: Arc<dyn PlatformSource>,
     settings: Settings,
     peer_server: Arc<PeerServer>,
-    stopping: watch::Sender<bool>,
-    listening: Vec<JoinHandle<()>>,
+    shutdown: watch::Sender<bool>,
+    listener_tasks: Vec<JoinHandle<()>>,
     background: JoinSet<()>,
 }
 
-/// What a node does for other nodes.
+/// Answers the requests of other nodes.
 #[derive(Debug)]
-struct NodePeers {
+struct PeerRequestHandler {
     guard: TargetGuard,
     spread: Arc<Spread>,
     active: Arc<Active>,
@@ -181,14 +181,14 @@
     takes_unlisted_peers: bool,
 }
 
-impl PeerHandler for NodePeers {
+impl PeerHandler for PeerRequestHandler {
     fn attempts(&self) -> &dyn AttemptHandler {
         &self.guard
     }
 
     fn is_member(&self, ip: IpAddr) -> bool {
         let fleet: Arc<Fleet> = self.active.fleet();
-        // Before a list is known, only seeds can be told from strangers.
+        // Before a host list is known, only seeds can be recognized.
         self.takes_unlisted_peers || fleet.has_ip(ip) || self.seeds.iter().any(|seed| seed.ip() == ip)
     }
 
@@ -202,19 +202,19 @@
                 PeerRequest::Tickets(request) => self.guard.give_tickets(&request),
                 PeerRequest::Exchange(exchange) => self.spread.answer_exchange(&exchange),
                 PeerRequest::Pull(items) => self.spread.answer_pull(&items),
-                PeerRequest::Offer(address, news, versions) => {
-                    self.spread.note_offer(from, address, &news, versions);
+                PeerRequest::Offer(address, exchange, versions) => {
+                    self.spread.note_offer(from, address, &exchange, versions);
                     PeerAnswer::Noted
                 }
                 PeerRequest::CanRead => self.spread.answer_can_read(),
-                PeerRequest::CrashNews(news) => {
-                    self.spread.crashes().take_news(&news);
+                PeerRequest::CrashNews(reports) => {
+                    self.spread.crashes().take_news(&reports);
                     PeerAnswer::Noted
                 }
                 PeerRequest::TakeTokens(key, wanted) => self.quotas.answer_take(&key, wanted),
                 PeerRequest::ReturnTokens(key, tokens) => self.quotas.answer_return(&key, tokens),
-                PeerRequest::CompareCrashes(news) => self.spread.answer_crashes(&news),
-                PeerRequest::CompareCarried(news) => self.spread.answer_carried(news.as_ref()),
+                PeerRequest::CompareCrashes(reports) => self.spread.answer_crashes(&reports),
+                PeerRequest::CompareCarried(corrections) => self.spread.answer_carried(corrections.as_ref()),
                 PeerRequest::Attempt(_) => PeerAnswer::Refused(Refusal::new(RefusalReason::Unreadable)),
             }
         }
@@ -223,17 +223,17 @@
 }
 
 impl Node {
-    /// Starts a node on the current runtime. It answers peers at once and callers when it has
-    /// asked platform and peers for the newest configuration.
+    /// Starts a node on the current runtime. It answers peers immediately, and callers after it has read the newest
+    /// configuration from the platform and its peers.
     ///
     /// # Errors
     ///
-    /// [`NodeError`] when a socket cannot be used.
+    /// Returns [`NodeError`] when a socket cannot be used.
     pub async fn start(options: NodeOptions) -> Result<Self, NodeError> {
         let NodeOptions { settings, listeners, chooser, is_plain, seed, link, platform, dialect, clock } =
             options;
         let counters = Arc::new(Counters::default());
-        let rules = CallerRules::new(settings.callers);
+        let caller_limits = CallerRules::new(settings.callers);
         let latencies = Arc::new(Latencies::default());
         let meter = Arc::new(Meter::default());
         let active = Active::new();
@@ -287,8 +287,8 @@
             active: active.clone(),
             counters: counters.clone(),
         });
-        let own = Own { host: host.clone(), data_centre: data_centre.clone() };
-        let services = Arc::new(Services::new(own, clock, chooser, seed));
+        let location = Own { host: host.clone(), data_centre: data_centre.clone() };
+        let services = Arc::new(Services::new(location, clock, chooser, seed));
         let log = &settings.log;
         let entry = Arc::new(Entry {
             context: CallContext {
@@ -307,7 +307,7 @@
             running: running.clone(),
             active: active.clone(),
             services: services.clone(),
-            limits: rules.clone(),
+            limits: caller_limits.clone(),
             budgets: Mutex::default(),
             is_stopping: false.into(),
             milestones: Milestones::default(),
@@ -315,16 +315,16 @@
             keys_age_max_ms: settings.platform.keys_age_max_ms,
         });
 
-        log::info!("listening: nodes on {peer_address}, {} ms after the start", clock.elapsed_ms());
+        log::info!("listening for peers on {peer_address}, {} ms after the start", clock.elapsed_ms());
         let mut background = JoinSet::new();
         background.spawn(follow_configuration(
             active.clone(),
             guard.clone(),
             observer.clone(),
-            rules.clone(),
+            caller_limits.clone(),
             quotas.clone(),
         ));
-        let peers = NodePeers {
+        let peers = PeerRequestHandler {
             guard: guard.clone(),
             spread: spread.clone(),
             active: active.clone(),
@@ -357,7 +357,7 @@
             active.clone(),
         ));
 
-        let (stopping, is_stopping) = watch::channel(false);
+        let (shutdown, shutdown_receiver) = watch::channel(false);
         let admin = Arc::new(Admin {
             entry: entry.clone(),
             guard: guard.clone(),
@@ -369,19 +369,24 @@
             host,
             data_centre,
         });
-        let callers = HttpListener::new(entry.clone(), rules.clone(), counters.clone(), is_stopping.clone());
+        let callers = HttpListener::new(
+            entry.clone(),
+            caller_limits.clone(),
+            counters.clone(),
+            shutdown_receiver.clone(),
+        );
         let operators = HttpListener::new(
             admin.clone(),
             CallerRules::new(settings.callers),
             counters.clone(),
-            is_stopping,
+            shutdown_receiver,
         );
-        let listening = vec![
+        let listener_tasks = vec![
             tokio::spawn(callers.serve(entry_listener.0)),
             tokio::spawn(operators.serve(admin_listener.0)),
         ];
         log::info!(
-            "started: version {}, host {}, data centre {}, incarnation {:x}, callers on {}, nodes on {}, {} ms after the start",
+            "started: version {}, host {}, data centre {}, incarnation {:x}, callers on {}, peers on {}, {} ms after the start",
             env!("CARGO_PKG_VERSION"),
             settings.node.host,
             settings.node.data_centre,
@@ -399,22 +404,22 @@
             active,
             guard,
             entry,
-            rules,
+            caller_limits,
             admin,
             platform,
             settings,
             peer_server,
-            stopping,
-            listening,
+            shutdown,
+            listener_tasks,
             background,
         })
     }
 
-    /// Puts changed settings in force, as far as a running node can; says what takes a restart.
+    /// Applies changed settings to the running node. Changes that need a restart are logged.
     pub fn reload(&mut self, settings: Settings) {
         let old = std::mem::replace(&mut self.settings, settings);
         let new = &self.settings;
-        self.rules.set_settings(new.callers);
+        self.caller_limits.set_settings(new.callers);
         self.admin.tokens.store(Arc::new(new.tokens.clone()));
         self.spread.set_seeds(new.seeds.clone());
         self.platform.set_settings(&new.platform);
@@ -422,64 +427,67 @@
             logging::set_level(&new.log.level);
         }
         log::info!("settings reloaded");
-        for part in needing_restart(&old, new) {
-            log::warn!("settings: a change of {part} takes a restart");
+        for setting in settings_needing_restart(&old, new) {
+            log::warn!("settings: the change of {setting} takes effect only after a restart");
         }
     }
 
-    /// Stops without cutting off a request; true when all ended within the longest time.
+    /// Stops gracefully. Returns whether all requests ended within the time limit.
     ///
-    /// For a moment all goes on, while callers are asked to close and readiness says no. Then the
-    /// guard takes nothing new, the entry takes no connections, and the last answer is waited for.
+    /// For the linger time, the node still accepts calls, but reports that it is not ready and asks callers to close their
+    /// connections. Then the guard accepts no new calls, the entry accepts no connections, and running requests finish.
     pub async fn stop(mut self) -> bool {
         let load = self.guard.guard().load();
-        log::info!("stopping: {} calls run here and {} wait", load.in_flight, load.queued);
+        log::info!("stopping: {} calls running at the local target, {} queued", load.in_flight, load.queued);
         self.entry.is_stopping.store(true, Ordering::Relaxed);
         let limit = Duration::from_millis(self.settings.node.stop_limit_ms());
         let linger = Duration::from_millis(self.settings.node.stop_linger_ms);
         let stopped = timeout(limit, async {
             sleep(linger).await;
             self.guard.set_stopping();
-            self.stopping.send_replace(true);
-            for task in &mut self.listening {
-                // A task that panicked has nothing left to wait for.
+            self.shutdown.send_replace(true);
+            for task in &mut self.listener_tasks {
+                // A task that panicked needs no waiting.
                 let _ = task.await;
             }
             drained(&self.guard, limit).await;
             self.peer_server.stop();
-            // Answers that left the guard may still be on their way out.
+            // Gives answers that have left the guard time to be sent.
             sleep(Duration::from_millis(200)).await;
         });
-        let is_whole = stopped.await.is_ok();
+        let is_graceful = stopped.await.is_ok();
         let load = self.guard.guard().load();
-        let left = load.in_flight + load.queued;
-        log::info!("stopped: {}, {left} calls cut off", if is_whole { "whole" } else { "out of time" });
+        let remaining = load.in_flight + load.queued;
+        log::info!(
+            "stopped {}, {remaining} calls cut off",
+            if is_graceful { "gracefully" } else { "at the time limit" }
+        );
         self.background.shutdown().await;
-        is_whole
+        is_graceful
     }
 
-    /// Stops at once, as a crash would.
+    /// Stops immediately, as a crash would.
     pub async fn kill(mut self) {
-        for task in &self.listening {
+        for task in &self.listener_tasks {
             task.abort();
         }
         self.background.shutdown().await;
     }
 }
 
-/// Parts of the settings that differ and that a running node cannot change.
-fn needing_restart(old: &Settings, new: &Settings) -> Vec<&'static str> {
-    let is_moved = old.node.entry_address != new.node.entry_address
+/// Returns the names of changed settings that a running node cannot apply.
+fn settings_needing_restart(old: &Settings, new: &Settings) -> Vec<&'static str> {
+    let is_address_changed = old.node.entry_address != new.node.entry_address
         || old.node.peer_address != new.node.peer_address
         || old.node.admin_address != new.node.admin_address;
-    let is_renamed = old.node.host != new.node.host || old.node.data_centre != new.node.data_centre;
+    let is_identity_changed = old.node.host != new.node.host || old.node.data_centre != new.node.data_centre;
     let changes = [
-        ("the addresses", is_moved),
-        ("host or data centre", is_renamed),
+        ("the addresses", is_address_changed),
+        ("host or data centre", is_identity_changed),
         ("the target", old.target != new.target),
-        ("the form of the decision log", old.log.decisions != new.log.decisions),
+        ("the format of the decision log", old.log.decisions != new.log.decisions),
     ];
-    changes.into_iter().filter(|(_, is_changed)| *is_changed).map(|(part, _)| part).collect()
+    changes.into_iter().filter(|(_, is_changed)| *is_changed).map(|(setting, _)| setting).collect()
 }
 
 fn own_service(settings: &Settings) -> String {
--- a/crates/laurelstall_node/src/observer.rs
+++ b/crates/laurelstall_node/src/observer.rs
@@ -1,4 +1,4 @@
-//! What this node spends on observing targets.
+//! Limits what this node spends on observing targets with hints and probes.
 
 use crate::{
     counters::{Counters, count},
@@ -21,77 +21,78 @@
 };
 use tokio::time::{Duration, sleep};
 
-/// Bytes of a probe's or its answer's payload at most.
+/// Maximum payload of a probe or its answer, in bytes.
 const PROBE_PAYLOAD_BYTES: u64 = 12 + HINT_BYTES;
-/// A probe and its answer.
+/// Size of a probe and its answer, in bytes.
 pub const PROBE_BYTES: u64 = 2 * (PROBE_PAYLOAD_BYTES + MESSAGE_OVERHEAD_BYTES);
-/// Pause between two looks for a target to probe.
+/// Interval between probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(25);
-/// Hints younger than this need no probe, in µs.
+/// Age of a hint from which its target is probed, in µs.
 const PROBE_AGE_US: u64 = 400_000;
-/// Services without a call for so long are not probed, in µs.
+/// Time since its last call after which the targets of a service are no longer probed, in µs.
 pub const SERVICE_IDLE_US: u64 = 5_000_000;
 
-/// The budget for observing and what is done with it.
+/// Sends probes, and limits the cost of probes and hints by a budget.
 #[derive(Debug)]
 pub struct Observer {
     clock: Clock,
-    /// For asking others: hints on answers, and probes.
-    asking: Mutex<ObserveBudget>,
-    /// For answering others. Halves of their own keep a hint that is asked for, and paid by its
-    /// asker, from being refused for what this node asked itself.
-    answering: Mutex<ObserveBudget>,
+    /// Budget for requests to other nodes: for hints on answers, and probes.
+    request_budget: Mutex<ObserveBudget>,
+    /// Budget for answers to other nodes. It is separate, so that this node's own requests cannot use up what answers need:
+    /// the requesting node has already paid for them.
+    answer_budget: Mutex<ObserveBudget>,
     counters: Arc<Counters>,
 }
 
 impl Observer {
-    /// A budget as the defaults say, until a configuration is in force.
+    /// Creates an observer with the default limits, which hold until a configuration is applied.
     pub fn new(clock: Clock, counters: Arc<Counters>) -> Self {
         let limits = ObserveLimits::default();
         let half = || Mutex::new(ObserveBudget::new(limits.bytes_per_s / 2, limits.probes_per_s / 2));
-        Self { clock, asking: half(), answering: half(), counters }
+        Self { clock, request_budget: half(), answer_budget: half(), counters }
     }
 
-    /// Puts new limits in force.
+    /// Applies new limits.
     pub fn set_limits(&self, limits: ObserveLimits) {
-        for half in [&self.asking, &self.answering] {
+        for half in [&self.request_budget, &self.answer_budget] {
             lock(half).set_rates(limits.bytes_per_s / 2, limits.probes_per_s / 2);
         }
     }
 
-    /// What was spent so far.
+    /// Returns what was spent since the start of the node.
     pub fn spent(&self) -> ObserveSpent {
-        let (asking, answering) = (lock(&self.asking), lock(&self.answering));
+        let (request_budget, answer_budget) = (lock(&self.request_budget), lock(&self.answer_budget));
         ObserveSpent {
-            bytes: asking.spent_bytes() + answering.spent_bytes(),
-            messages: asking.spent_messages() + answering.spent_messages(),
-            refused: asking.refused() + answering.refused(),
+            bytes: request_budget.spent_bytes() + answer_budget.spent_bytes(),
+            messages: request_budget.spent_messages() + answer_budget.spent_messages(),
+            refused: request_budget.refused() + answer_budget.refused(),
         }
     }
 
-    /// Takes the cost of asking for a hint on an answer.
+    /// Tries to withdraw the cost of requesting a hint on an answer. Uses at most `share_percent` of the budget.
     pub fn may_ask_hint(&self, share_percent: u8) -> bool {
-        share_percent > 0 && lock(&self.asking).try_take(self.clock.now_us(), HINT_COST, share_percent)
+        share_percent > 0
+            && lock(&self.request_budget).try_take(self.clock.now_us(), HINT_COST, share_percent)
     }
 
-    /// Takes the cost of a hint on an answer of the own guard.
+    /// Tries to withdraw the cost of attaching a hint to an answer of this node's guard.
     pub fn may_carry_hint(&self) -> bool {
-        lock(&self.answering).try_take(self.clock.now_us(), HINT_COST, 100)
+        lock(&self.answer_budget).try_take(self.clock.now_us(), HINT_COST, 100)
     }
 
-    /// Takes the cost of answering one probe.
+    /// Tries to withdraw the cost of answering a probe.
     pub fn may_answer_probe(&self) -> bool {
         let cost = ObserveCost { bytes: PROBE_BYTES, messages: 1 };
-        lock(&self.answering).try_take(self.clock.now_us(), cost, 100)
+        lock(&self.answer_budget).try_take(self.clock.now_us(), cost, 100)
     }
 
-    /// Probes the targets of which least is known, as far as the budget goes, until dropped.
+    /// Probes the targets with the oldest hints as far as the budget allows. Runs until dropped.
     pub async fn probe_loop(&self, services: &Services, client: &PeerClient) {
         loop {
             sleep(PROBE_INTERVAL).await;
             for service in services.used_since(self.clock.now_us().saturating_sub(SERVICE_IDLE_US)) {
                 let now_us = self.clock.now_us();
-                // No connection is opened for a probe: that would cost more than it tells.
+                // Only targets with an open connection are probed: opening one costs more than the hint is worth.
                 let has_connection = |address| client.pool().has(address);
                 let stalest = service.stalest(now_us, PROBE_AGE_US, has_connection);
                 let Some((index, name, address)) = stalest else { continue };
@@ -102,29 +103,30 @@
         }
     }
 
-    /// Asks the node at `address` how its target is, if the budget for asking covers it.
+    /// Probes the node at `address` for a hint on its target. Returns `None` when the budget is exhausted or there is no
+    /// answer.
     pub async fn ask(&self, client: &PeerClient, address: SocketAddr) -> Option<Hint> {
-        if !self.take_probe() {
+        if !self.try_withdraw_probe_cost() {
             return None;
         }
         count(&self.counters.probes);
-        probe(client, address).await
+        send_probe(client, address).await
     }
 
-    fn take_probe(&self) -> bool {
+    fn try_withdraw_probe_cost(&self) -> bool {
         let cost = ObserveCost { bytes: PROBE_BYTES, messages: 1 };
-        lock(&self.asking).try_take(self.clock.now_us(), cost, 100)
+        lock(&self.request_budget).try_take(self.clock.now_us(), cost, 100)
     }
 }
 
-/// What was spent on observing since the start.
+/// Cost of observing targets since the start of the node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ObserveSpent {
-    /// Bytes, both directions.
+    /// Bytes sent and received.
     pub bytes: u64,
     /// Probes sent and answered.
     pub messages: u64,
-    /// Wishes to spend that were refused.
+    /// Probes and hints that the budget did not allow.
     pub refused: u64,
 }
 
@@ -134,7 +136,7 @@
     budget.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn probe(client: &PeerClient, address: SocketAddr) -> Option<Hint> {
+async fn send_probe(client: &PeerClient, address: SocketAddr) -> Option<Hint> {
     match client.ask(address, &PeerRequest::Probe).await {
         Ok(PeerAnswer::Probed(hint)) => hint.map(Hint::from),
         _ => None,
--- a/crates/laurelstall_node/src/ordered_connection.rs
+++ b/crates/laurelstall_node/src/ordered_connection.rs
@@ -1,9 +1,9 @@
-//! A caller's connection on which requests may come before earlier ones are answered.
+//! Callers' connections with HTTP/1.1 pipelining.
 //!
-//! HTTP/1.1 lets a caller send further requests at once, and wants the answers in the same order. Requests that may be
-//! repeated and have no body are worked on side by side; their answers wait for their turn in a bounded buffer each. All
-//! else (bodies, upgrades, HTTP/2, heads that cannot be read) goes to the HTTP library as it came, one request after the
-//! other, when everything before it is answered.
+//! A caller may send further requests before earlier ones are answered, and expects the answers in the order of the
+//! requests. Requests without a body that are safe to repeat run concurrently; each answer waits for its turn in a bounded
+//! buffer. Anything else (bodies, upgrades, HTTP/2, malformed heads) is passed on unchanged to hyper, which serves the rest
+//! of the connection one request at a time after all earlier requests are answered.
 
 use crate::{
     caller_rules::CallerRules,
@@ -33,76 +33,76 @@
     time::{Duration, timeout},
 };
 
-/// Requests of one connection that are worked on at once: more are read when the first of them is answered.
+/// Maximum number of concurrent requests of a connection. More are read when the first of them is answered.
 const REQUESTS_MAX: usize = 16;
-/// Bytes of an answer that wait for their turn: with [`REQUESTS_MAX`] they bound what one connection holds to 512 KiB.
-const WAITING_BYTES_MAX: usize = 32 * 1024;
-/// How long what a caller still sends is read and dropped after the last answer: closed at once, the connection would
-/// be reset, and the answer lost that is on its way.
-const LINGER: Duration = Duration::from_millis(500);
+/// Buffer of an answer that waits for its turn, in bytes. With [`REQUESTS_MAX`], a connection buffers at most 512 KiB.
+const BUFFERED_BYTES_MAX: usize = 32 * 1024;
+/// Time after the last answer during which further input is read and discarded. Closing the connection immediately could
+/// reset it, and the caller could lose the last answer.
+const LINGER_TIME: Duration = Duration::from_millis(500);
 
-/// What a connection is served with.
+/// Options for serving a connection.
 #[derive(Debug, Clone)]
 pub struct ConnectionOptions {
-    /// Whoever answers.
+    /// Answers the requests.
     pub responder: Arc<dyn Responder>,
     /// Limits on callers.
     pub limits: Arc<CallerRules>,
-    /// Turns true when no new request is to be read.
+    /// Becomes true when the node stops and no new requests are to be read.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// Why reading ended.
+/// Reason why reading requests ended.
 enum ReadEnd {
-    /// The caller is gone, or said nothing for too long.
-    Gone,
-    /// Nothing more is to be read: the node stops, or an answer closes the connection.
+    /// The caller closed the connection, or was idle for too long.
+    CallerGone,
+    /// The node stops, or an answer closes the connection.
     Closing,
-    /// The HTTP library goes on, from these bytes on.
+    /// Hyper serves the rest of the connection, which starts with these bytes.
     HandOver(BytesMut),
 }
 
-/// How the answers ended that were written.
+/// Reason why writing answers ended.
 enum WriteEnd {
-    /// All are written.
+    /// All answers are written.
     Written,
-    /// The last one said that the connection closes.
+    /// The last written answer closes the connection.
     Closed,
 }
 
-/// An answer on its way.
-struct Answering {
+/// An answer that waits to be written.
+struct PendingAnswer {
     output: DuplexStream,
     state: Arc<AnswerState>,
-    /// Its place among [`REQUESTS_MAX`], held until it is written.
-    _place: OwnedSemaphorePermit,
+    /// One of [`REQUESTS_MAX`] permits, held until the answer is written.
+    _permit: OwnedSemaphorePermit,
 }
 
 #[derive(Debug, Default)]
 struct AnswerState {
-    /// Whether all of it was written.
-    is_whole: AtomicBool,
-    /// Whether it says that the connection closes.
+    /// Whether the whole answer was written to the buffer.
+    is_complete: AtomicBool,
+    /// Whether the answer closes the connection.
     closes: AtomicBool,
 }
 
-/// What is known of the requests of one connection.
+/// Counts the requests of a connection, and records when an answer closes it.
 #[derive(Debug, Default)]
-struct Requests {
-    state: Mutex<RequestsState>,
+struct RequestTracker {
+    state: Mutex<TrackerState>,
 }
 
 #[derive(Debug, Default)]
-struct RequestsState {
-    /// Requests that were read.
+struct TrackerState {
+    /// Number of requests read.
     read: u64,
-    /// Whether an answer has said that nothing more is read.
+    /// Whether an answer closes the connection, so that no more requests are read.
     is_closing: bool,
 }
 
-impl Requests {
-    /// Counts a request; none when an answer before it closes the connection.
-    fn enter(&self) -> Option<u64> {
+impl RequestTracker {
+    /// Counts a request and returns its number. Returns `None` when an earlier answer closes the connection.
+    fn register(&self) -> Option<u64> {
         let mut state = self.lock();
         if state.is_closing {
             return None;
@@ -111,7 +111,7 @@
         Some(state.read)
     }
 
-    /// Whether the answer to this request may say that the connection closes: only when nothing was read behind it.
+    /// Returns whether the answer to a request may close the connection, which is when no later request was read.
     fn may_close(&self, number: u64) -> bool {
         let mut state = self.lock();
         let is_last = state.read == number;
@@ -119,7 +119,7 @@
         is_last
     }
 
-    fn lock(&self) -> MutexGuard<'_, RequestsState> {
+    fn lock(&self) -> MutexGuard<'_, TrackerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -128,15 +128,15 @@
 ///
 /// # Errors
 ///
-/// What broke the connection.
+/// Returns the I/O error that ended the connection.
 pub async fn serve_ordered(stream: IdleStream, options: ConnectionOptions) -> io::Result<()> {
     let (mut input, mut output) = split(stream);
-    let (queue, answers) = mpsc::channel(REQUESTS_MAX);
-    let mut working = JoinSet::new();
-    let requests = Arc::<Requests>::default();
-    let read = {
-        let mut writing = pin!(write_answers(answers, &mut output));
-        let mut reading = pin!(read_requests(&mut input, queue, &mut working, &requests, &options));
+    let (answer_sender, answer_receiver) = mpsc::channel(REQUESTS_MAX);
+    let mut running = JoinSet::new();
+    let requests = Arc::<RequestTracker>::default();
+    let remaining = {
+        let mut writing = pin!(write_answers(answer_receiver, &mut output));
+        let mut reading = pin!(read_requests(&mut input, answer_sender, &mut running, &requests, &options));
         let read = tokio::select! {
             biased;
             written = &mut writing => {
@@ -146,8 +146,8 @@
             read = &mut reading => Some(read?),
         };
         match read {
-            // What is done for a caller that is gone ends with the tasks.
-            Some(ReadEnd::Gone) => return Ok(()),
+            // Dropping the tasks cancels the requests of a caller that closed the connection.
+            Some(ReadEnd::CallerGone) => return Ok(()),
             Some(ReadEnd::HandOver(bytes)) => match writing.await? {
                 WriteEnd::Written => Some(bytes),
                 WriteEnd::Closed => None,
@@ -159,79 +159,84 @@
             None => None,
         }
     };
-    // What was read behind an answer that closes the connection counts as not read.
-    working.abort_all();
-    match read {
-        Some(bytes) => serve_by_library(bytes, input, output, options).await,
+    // Requests after an answer that closes the connection are discarded.
+    running.abort_all();
+    match remaining {
+        Some(bytes) => serve_with_hyper(bytes, input, output, options).await,
         None => close(input, output).await,
     }
 }
 
-/// Reads requests and has them worked on, in order where they may not run beside others.
+/// Reads requests and starts them, after all earlier ones where they may not run concurrently.
 async fn read_requests(
     input: &mut ReadHalf<IdleStream>,
-    queue: mpsc::Sender<Answering>,
-    working: &mut JoinSet<()>,
-    requests: &Arc<Requests>,
+    answer_sender: mpsc::Sender<PendingAnswer>,
+    running: &mut JoinSet<()>,
+    requests: &Arc<RequestTracker>,
     options: &ConnectionOptions,
 ) -> io::Result<ReadEnd> {
     let mut stopping = options.stopping.clone();
-    let places = Arc::new(Semaphore::new(REQUESTS_MAX));
+    let permits = Arc::new(Semaphore::new(REQUESTS_MAX));
     let mut buffer = BytesMut::new();
     loop {
-        while working.try_join_next().is_some() {}
+        while running.try_join_next().is_some() {}
         let limits = options.limits.now();
         let head_timeout = Duration::from_millis(limits.head_timeout_ms);
         let read = tokio::select! {
             biased;
-            // A request whose start was read is read to its end.
-            () = wait_stopping(&mut stopping), if buffer.is_empty() => return Ok(ReadEnd::Closing),
+            // A request that was read in part is read to its end.
+            () = wait_for_stop(&mut stopping), if buffer.is_empty() => return Ok(ReadEnd::Closing),
             read = timeout(head_timeout, read_head(input, &mut buffer, limits.head_bytes)) => read,
         };
         let head = match read {
-            Err(_) if places.available_permits() == REQUESTS_MAX => return Ok(ReadEnd::Gone),
-            // The caller may still read answers.
+            Err(_) if permits.available_permits() == REQUESTS_MAX => return Ok(ReadEnd::CallerGone),
+            // The caller may still be reading answers.
             Err(_) => continue,
             Ok(head) => head?,
         };
         let (bytes, parts) = match head {
             RequestHead::Plain { bytes, parts } => (bytes, parts),
-            RequestHead::Gone => return Ok(ReadEnd::Gone),
+            RequestHead::Closed => return Ok(ReadEnd::CallerGone),
             RequestHead::Other => return Ok(ReadEnd::HandOver(buffer)),
         };
         if !options.responder.may_run_beside(&parts) {
-            // All places are free when all answers before are written.
-            let _all = places.acquire_many(REQUESTS_MAX as u32).await.map_err(io::Error::other)?;
+            // All permits are available once all earlier answers are written.
+            let _all_permits = permits.acquire_many(REQUESTS_MAX as u32).await.map_err(io::Error::other)?;
         }
-        let place = places.clone().acquire_owned().await.map_err(io::Error::other)?;
-        let Some(number) = requests.enter() else { return Ok(ReadEnd::Closing) };
-        let (output, answer) = duplex(WAITING_BYTES_MAX);
+        let permit = permits.clone().acquire_owned().await.map_err(io::Error::other)?;
+        let Some(number) = requests.register() else { return Ok(ReadEnd::Closing) };
+        let (output, answer_output) = duplex(BUFFERED_BYTES_MAX);
         let state = Arc::<AnswerState>::default();
-        let asked = Asked { bytes, number, requests: requests.clone(), state: state.clone() };
-        working.spawn(answer_one(asked, answer, options.responder.clone(), limits.head_bytes));
-        if queue.send(Answering { output, state, _place: place }).await.is_err() {
+        let pipelined = PipelinedRequest { bytes, number, requests: requests.clone(), state: state.clone() };
+        running.spawn(serve_one(pipelined, answer_output, options.responder.clone(), limits.head_bytes));
+        if answer_sender.send(PendingAnswer { output, state, _permit: permit }).await.is_err() {
             return Ok(ReadEnd::Closing);
         }
     }
 }
 
-/// Waits until no new request is to be read.
-async fn wait_stopping(stopping: &mut watch::Receiver<bool>) {
-    // Whoever says so is gone: the node ends.
+/// Waits until the node stops.
+async fn wait_for_stop(stopping: &mut watch::Receiver<bool>) {
+    // An error means that the sender was dropped, and so that the node has ended.
     let _ = stopping.wait_for(|is_stopping| *is_stopping).await;
 }
 
-/// A request that is worked on.
-struct Asked {
+/// A running request.
+struct PipelinedRequest {
     bytes: Bytes,
     number: u64,
-    requests: Arc<Requests>,
+    requests: Arc<RequestTracker>,
     state: Arc<AnswerState>,
 }
 
-/// Has the HTTP library read one request and write its answer.
-async fn answer_one(asked: Asked, answer: DuplexStream, responder: Arc<dyn Responder>, head_bytes: usize) {
-    let Asked { bytes, number, requests, state } = asked;
+/// Lets hyper parse a single request and write its answer.
+async fn serve_one(
+    pipelined: PipelinedRequest,
+    answer_output: DuplexStream,
+    responder: Arc<dyn Responder>,
+    head_bytes: usize,
+) {
+    let PipelinedRequest { bytes, number, requests, state } = pipelined;
     let closing = state.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let (responder, requests, closing) = (responder.clone(), requests.clone(), closing.clone());
@@ -249,12 +254,12 @@
         }
     });
     let mut builder = http1::Builder::new();
-    // The request is all there is to read.
+    // The input ends after this request.
     builder.half_close(true).timer(TokioTimer::new()).max_buf_size(head_bytes);
-    let io = TokioIo::new(join(Cursor::new(bytes), answer));
+    let io = TokioIo::new(join(Cursor::new(bytes), answer_output));
     match builder.serve_connection(io, service).await {
-        Ok(()) => state.is_whole.store(true, Ordering::Relaxed),
-        Err(error) => log::debug!("an answer to a caller broke off: {error}"),
+        Ok(()) => state.is_complete.store(true, Ordering::Relaxed),
+        Err(error) => log::debug!("an answer to a caller ended early: {error}"),
     }
 }
 
@@ -265,24 +270,24 @@
 
 /// Writes answers in the order of their requests.
 async fn write_answers(
-    mut answers: mpsc::Receiver<Answering>,
+    mut answer_receiver: mpsc::Receiver<PendingAnswer>,
     output: &mut WriteHalf<IdleStream>,
 ) -> io::Result<WriteEnd> {
     loop {
-        let Some(mut answering) = answers.recv().await else { return Ok(WriteEnd::Written) };
-        copy(&mut answering.output, output).await?;
+        let Some(mut pending) = answer_receiver.recv().await else { return Ok(WriteEnd::Written) };
+        copy(&mut pending.output, output).await?;
         output.flush().await?;
-        if !answering.state.is_whole.load(Ordering::Relaxed) {
-            return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "an answer broke off"));
+        if !pending.state.is_complete.load(Ordering::Relaxed) {
+            return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "an answer ended early"));
         }
-        if answering.state.closes.load(Ordering::Relaxed) {
+        if pending.state.closes.load(Ordering::Relaxed) {
             return Ok(WriteEnd::Closed);
         }
     }
 }
 
-/// Lets the HTTP library serve the rest of a connection.
-async fn serve_by_library(
+/// Lets hyper serve the rest of a connection.
+async fn serve_with_hyper(
     bytes: BytesMut,
     input: ReadHalf<IdleStream>,
     output: WriteHalf<IdleStream>,
@@ -301,7 +306,7 @@
     let mut connection = pin!(builder.serve_connection(io, service));
     let served = tokio::select! {
         served = connection.as_mut() => Some(served),
-        () = wait_stopping(&mut stopping) => None,
+        () = wait_for_stop(&mut stopping) => None,
     };
     let served = match served {
         Some(served) => served,
@@ -313,10 +318,10 @@
     served.map_err(io::Error::other)
 }
 
-/// Ends a connection so that the last answer arrives.
+/// Closes a connection so that the last answer arrives.
 async fn close(mut input: ReadHalf<IdleStream>, mut output: WriteHalf<IdleStream>) -> io::Result<()> {
     output.shutdown().await?;
-    // What comes still is dropped: it counts as not read.
-    let _ = timeout(LINGER, copy(&mut input, &mut sink())).await;
+    // Further input is discarded.
+    let _ = timeout(LINGER_TIME, copy(&mut input, &mut sink())).await;
     Ok(())
 }
--- a/crates/laurelstall_node/src/platform_http.rs
+++ b/crates/laurelstall_node/src/platform_http.rs
@@ -1,11 +1,11 @@
-//! Reading the platform over HTTP.
+//! Reads documents from the platform over HTTP.
 //!
-//! `GET /v1/values?after=N&era=E&wait_ms=W` lists keys and versions, at once or when the sequence
-//! passes `N`; `GET /v1/values/KEY` gives a text, its version in the header `version`.
+//! `GET /v1/values?after=N&era=E&wait_ms=W` lists keys and versions. It is a long poll: it returns when the sequence
+//! passes `N`, or after `W` ms. `GET /v1/values/KEY` returns a text, with its version in the header `version`.
 //!
-//! A platform that comes back from an older copy counts its `era` up, which stands in the listing and in the header `era`.
-//! Its sequence and the versions of the list of hosts, which it counts itself, go on from the copy; the versions of
-//! other documents are their authors' and never go back.
+//! A platform that was restored from an older copy increments its `era`, which is in the listing and in the header `era`.
+//! Its sequence and the versions of the host list, which it assigns itself, continue from the copy. The versions of other
+//! documents are assigned by their authors and never decrease.
 
 use bytes::Bytes;
 use futures_util::future::{BoxFuture, FutureExt};
@@ -27,43 +27,43 @@
 };
 use tokio::time::{Duration, timeout};
 
-/// Header with a value's version.
+/// Header with the version of a value.
 pub const VERSION_HEADER: HeaderName = HeaderName::from_static("version");
 
-/// Header with how often the platform had come back from an older copy.
+/// Header with the number of times that the platform was restored from an older copy.
 pub const ERA_HEADER: HeaderName = HeaderName::from_static("era");
 
-/// A listing as it travels.
+/// A listing in its wire format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WireListing {
-    /// How often the platform had come back from an older copy; absent on platforms that never do.
+    /// Number of times that the platform was restored from an older copy. Platforms without restores omit it.
     #[serde(default)]
     pub era: u64,
-    /// Grows with each change.
+    /// Increases with each change.
     pub sequence: u64,
     /// The newest version of each key.
     pub values: Vec<WireValue>,
 }
 
-/// One key of a listing.
+/// A key of a listing.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WireValue {
-    /// The key, as [`DocumentName`] writes it.
+    /// The key: the name of a document as [`DocumentName`] formats it.
     pub key: String,
-    /// Number of its version.
+    /// Version number of the value.
     pub version: u64,
 }
 
-/// Rest of a connection to the platform after which it is probed, and pause to the next probe: the shortest that
-/// the system's TCP knows.
+/// Idle time after which TCP keep-alive probes are sent to the platform, and the interval between probes. One second is
+/// the shortest time that Linux supports.
 ///
-/// A watch rests for seconds, and a way that was cut says nothing: without probes the reader would find out when
-/// the watch is overdue, 3.5 s later on the users' platform, and those that stand by would take it for able.
+/// A long poll is idle for seconds. Without probes, a reader would notice a network failure only when the poll is overdue,
+/// and until then the standby readers would not take over.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the connection is given up.
+/// Number of unanswered probes after which the connection is closed.
 const KEEP_ALIVE_RETRIES: u32 = 1;
 
-/// Opens connections to the platform that end when the way to it is cut.
+/// Creates a connector whose connections to the platform fail soon after the network does.
 pub fn platform_connector(settings: &PlatformSettings) -> HttpConnector {
     let answer_max = Duration::from_millis(settings.read_timeout_ms);
     let mut connector = HttpConnector::new();
@@ -77,7 +77,7 @@
     connector
 }
 
-/// The platform's configuration service over HTTP.
+/// The configuration service of the platform, accessed over HTTP.
 #[derive(Debug)]
 pub struct HttpPlatform {
     settings: PlatformSettings,
@@ -87,7 +87,7 @@
 }
 
 impl HttpPlatform {
-    /// Reads as `settings` say.
+    /// Creates a client for the platform in `settings`.
     pub fn new(settings: &PlatformSettings) -> Self {
         let connector = platform_connector(settings);
         let client = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(1).build(connector);
@@ -96,24 +96,24 @@
 
     async fn get(&self, path: &str, wait_ms: u64) -> Result<(HeaderMap, Bytes), PlatformError> {
         let uri = format!("http://{}{path}", self.settings.address);
-        let uri: Uri = uri.parse().map_err(unreachable_platform)?;
-        let request = Request::get(uri).body(Empty::new()).map_err(unreachable_platform)?;
-        let limit = Duration::from_millis(self.settings.read_timeout_ms + wait_ms);
+        let uri: Uri = uri.parse().map_err(platform_unreachable)?;
+        let request = Request::get(uri).body(Empty::new()).map_err(platform_unreachable)?;
+        let time_limit = Duration::from_millis(self.settings.read_timeout_ms + wait_ms);
         let read = async {
-            let response = self.client.request(request).await.map_err(unreachable_platform)?;
+            let response = self.client.request(request).await.map_err(platform_unreachable)?;
             if !response.status().is_success() {
-                return Err(unreachable_platform(format!("{path}: status {}", response.status())));
+                return Err(platform_unreachable(format!("{path}: status {}", response.status())));
             }
             let headers = response.headers().clone();
             let body = Limited::new(response.into_body(), DOCUMENT_BYTES_MAX);
-            let bytes = body.collect().await.map_err(unreachable_platform)?.to_bytes();
+            let bytes = body.collect().await.map_err(platform_unreachable)?.to_bytes();
             Ok((headers, bytes))
         };
-        timeout(limit, read).await.map_err(|_| unreachable_platform(format!("{path}: no answer in time")))?
+        timeout(time_limit, read).await.map_err(|_| platform_unreachable(format!("{path}: timed out")))?
     }
 }
 
-/// The version of a document that the platform gives a number in an era.
+/// Builds the version of a document from the platform's era and version number.
 pub fn version_of(name: &DocumentName, era: u64, number: u64) -> Version {
     match name {
         DocumentName::Fleet => Version::in_era(era, number),
@@ -125,7 +125,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn unreachable_platform(error: impl Display) -> PlatformError {
+fn platform_unreachable(error: impl Display) -> PlatformError {
     PlatformError::Unreachable(error.to_string())
 }
 
@@ -141,10 +141,10 @@
                 None => ("/v1/values".to_owned(), 0),
             };
             let (_, bytes) = self.get(&path, wait_ms).await?;
-            let wire: WireListing = serde_json::from_slice(&bytes).map_err(unreachable_platform)?;
+            let wire: WireListing = serde_json::from_slice(&bytes).map_err(platform_unreachable)?;
             self.era.store(wire.era, Ordering::Relaxed);
-            // Keys that are no documents of this system are somebody else's.
-            let known = |value: WireValue| {
+            // Keys that do not name documents belong to other systems and are ignored.
+            let parse_value = |value: WireValue| {
                 let name = DocumentName::from_key(&value.key)?;
                 let version = version_of(&name, wire.era, value.version);
                 Some((name, version))
@@ -152,7 +152,7 @@
             Ok(Listing {
                 era: wire.era,
                 sequence: wire.sequence,
-                versions: wire.values.into_iter().filter_map(known).collect(),
+                versions: wire.values.into_iter().filter_map(parse_value).collect(),
             })
         }
         .boxed()
@@ -162,9 +162,9 @@
         async move {
             let (headers, bytes) = self.get(&format!("/v1/values/{name}"), 0).await?;
             let number = number_in(&headers, &VERSION_HEADER);
-            let number = number.ok_or_else(|| unreachable_platform("a value without version"))?;
+            let number = number.ok_or_else(|| platform_unreachable("the answer has no version header"))?;
             let version = version_of(&name, number_in(&headers, &ERA_HEADER).unwrap_or(0), number);
-            let text = String::from_utf8(bytes.to_vec()).map_err(unreachable_platform)?;
+            let text = String::from_utf8(bytes.to_vec()).map_err(platform_unreachable)?;
             Ok(Document { name, version, text })
         }
         .boxed()
--- a/crates/laurelstall_node/src/process.rs
+++ b/crates/laurelstall_node/src/process.rs
@@ -1,4 +1,4 @@
-//! The life of a node's process: settings, start, signals, planned stop.
+//! Runs a node as a process: reads settings, starts the node, handles signals and stops gracefully.
 
 use crate::{
     logging,
@@ -11,14 +11,14 @@
     time::{Duration, sleep},
 };
 
-/// Pause between two looks at the settings file, which may change without a signal.
+/// Interval between checks whether the settings file has changed.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Exit code for wrong use or bad settings.
+/// Exit code for wrong usage or invalid settings.
 pub const WRONG_USE: u8 = 2;
 
-/// Runs a node with the settings in `file` until it is told to stop.
+/// Runs a node with the settings in `file` until SIGTERM or SIGINT.
 ///
-/// `prepare` makes what the node is started with, as the environment it runs in wants it.
+/// `prepare` creates the options of the node from its settings and sockets.
 pub fn run_node(file: &str, prepare: fn(Settings, Listeners) -> NodeOptions) -> ExitCode {
     let settings = match read_settings(file) {
         Ok(settings) => settings,
@@ -28,14 +28,14 @@
         }
     };
     if logging::start(&settings.log.level, settings.log.decisions).is_err() {
-        eprintln!("logging was started before");
+        eprintln!("a logger is already set");
     }
-    // One thread: a node is small, and calls need no hand-over between threads.
+    // A node needs little processor time, and a single thread avoids synchronization between threads.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let code = match runtime {
         Ok(runtime) => runtime.block_on(serve(file, settings, prepare)),
         Err(error) => {
-            eprintln!("{error}");
+            eprintln!("cannot start the async runtime: {error}");
             ExitCode::FAILURE
         }
     };
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 ///
-/// A message with all faults found.
+/// Returns a message with all problems found.
 pub fn read_settings(file: &str) -> Result<Settings, String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{file}: {error}"))?;
     Settings::from_text(file, &text).map_err(|error| error.to_string())
@@ -57,7 +57,7 @@
     let mut signals = match Signals::new() {
         Ok(signals) => signals,
         Err(error) => {
-            log::error!("signals cannot be watched: {error}");
+            log::error!("signal handlers cannot be installed: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -67,16 +67,16 @@
     };
     let started = tokio::select! {
         started = started => started,
-        // Nobody is served yet, so there is nothing to finish.
+        // No calls are running yet, so the process can exit immediately.
         () = signals.stop() => {
-            log::info!("stopped before the start was over");
+            log::info!("stopped by a signal before the start was complete");
             return ExitCode::SUCCESS;
         }
     };
     let mut node = match started {
         Ok(node) => node,
         Err(error) => {
-            log::error!("{error}");
+            log::error!("the node cannot start: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -84,7 +84,7 @@
     if node.stop().await { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// The signals that a node knows; they are watched from before the node starts.
+/// The signals that a node handles. The handlers are installed before the node starts.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -119,14 +119,16 @@
             _ = signals.hangup.recv() => {}
             () = sleep(FILE_CHECK_INTERVAL) => {}
         }
-        // A file that is being replaced is read at the next look.
+        // A file that is being replaced is read at the next check.
         let Ok(new_text) = fs::read_to_string(file) else { continue };
         if new_text == text {
             continue;
         }
         match Settings::from_text(file, &new_text) {
             Ok(settings) => node.reload(settings),
-            Err(error) => log::error!("changed settings refused, the old ones stay: {error}"),
+            Err(error) => {
+                log::error!("{file}: changed settings are invalid, keeping the previous ones: {error}")
+            }
         }
         text = new_text;
     }
--- a/crates/laurelstall_node/src/request_head.rs
+++ b/crates/laurelstall_node/src/request_head.rs
@@ -1,4 +1,4 @@
-//! The heads of requests that callers send one behind the other.
+//! Parses heads of pipelined requests.
 
 use bytes::{Buf, Bytes, BytesMut};
 use http::{HeaderName, Method, Request, Uri, request::Parts};
@@ -6,9 +6,9 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Header fields of a head at most; one with more goes to the HTTP library, which refuses it.
+/// Maximum number of header fields. A head with more is passed to hyper, which refuses it.
 const HEADERS_MAX: usize = 100;
-/// Header fields by which a request is more than its head, or asks something of the connection.
+/// Header fields of requests that have a body or affect the connection.
 const SPECIAL_HEADERS: [HeaderName; 6] = [
     http::header::CONTENT_LENGTH,
     http::header::TRANSFER_ENCODING,
@@ -18,36 +18,36 @@
     http::header::TE,
 ];
 
-/// The start of a request.
+/// Result of [`read_head`].
 #[derive(Debug)]
 pub enum RequestHead {
-    /// A request that ends with its head and asks nothing of its connection.
+    /// A request without a body that does not affect the connection.
     Plain {
-        /// The head as it came.
+        /// The head as received.
         bytes: Bytes,
-        /// What it says.
+        /// The parsed head.
         parts: Box<Parts>,
     },
-    /// Anything else, and what cannot be read.
+    /// Any other request, or a malformed one.
     Other,
-    /// The caller is gone.
-    Gone,
+    /// The caller closed the connection.
+    Closed,
 }
 
-/// Reads the next head into `buffer` and takes it out if it is plain.
+/// Reads the next head into `buffer`, and removes it from the buffer if it is plain.
 ///
-/// Dropping the future loses nothing: what was read stays in the buffer.
+/// The function is cancel safe: bytes that were read stay in the buffer.
 ///
 /// # Errors
 ///
-/// What broke the connection.
+/// Returns the I/O error that ended the connection.
 pub async fn read_head(
     input: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
     bytes_max: usize,
 ) -> io::Result<RequestHead> {
     loop {
-        // Empty lines before a request are passed over (RFC 9112, 2.2).
+        // Empty lines before a request are ignored (RFC 9112, section 2.2).
         while buffer.starts_with(b"\r\n") {
             buffer.advance(2);
         }
@@ -63,7 +63,7 @@
             }
         }
         if input.read_buf(buffer).await? == 0 {
-            return Ok(RequestHead::Gone);
+            return Ok(RequestHead::Closed);
         }
     }
 }
@@ -92,7 +92,7 @@
     }
 }
 
-/// `connection: keep-alive` asks for what holds anyway.
+/// Returns whether a header field needs hyper. `connection: keep-alive` does not, since it is the default.
 fn is_special(header: &Header<'_>) -> bool {
     let is_keep_alive = header.name.eq_ignore_ascii_case(http::header::CONNECTION.as_str())
         && header.value.eq_ignore_ascii_case(b"keep-alive");
--- a/crates/laurelstall_node/src/wall_clock.rs
+++ b/crates/laurelstall_node/src/wall_clock.rs
@@ -1,8 +1,8 @@
-//! The time of day, for log lines alone: nothing is decided by it.
+//! Wall-clock time, used only in log lines.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Time of day in ms since 1970, to find lines of several nodes beside each other; 0 where the clock stands before it.
+/// Returns the Unix time in ms, or 0 when the clock is set to a time before 1970.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/laurelstall_node/tests/milestones.rs
+++ b/crates/laurelstall_node/tests/milestones.rs
@@ -1,9 +1,9 @@
-//! The steps of a start are written down once each.
+//! Tests that each milestone of a start is logged once.
 
 use laurelstall_node::milestones::{Milestone, Milestones};
 
 #[test]
-fn each_step_is_told_once() {
+fn each_milestone_is_recorded_once() {
     let milestones = Milestones::default();
     assert!(milestones.note(Milestone::FirstCall, 5_000));
     assert!(!milestones.note(Milestone::FirstCall, 6_000));
