--- a/crates/laurelstall_peer/examples/carry_cost.rs
+++ b/crates/laurelstall_peer/examples/carry_cost.rs
@@ -1,5 +1,5 @@
-//! What it costs a node to compare a new list of hosts with the one before, and to correct one after the platform came
-//! back from an older copy, over sizes of the fleet.
+//! Measures how long a node takes to compare two lists of hosts, and to correct a list after a restore of
+//! the platform, for several fleet sizes.
 
 use laurelstall_config::fleet::{Fleet, FleetTarget, Host, HostState, host_name};
 use laurelstall_peer::recent_fleet::RecentFleet;
--- a/crates/laurelstall_peer/examples/pack_cost.rs
+++ b/crates/laurelstall_peer/examples/pack_cost.rs
@@ -1,4 +1,4 @@
-//! What it costs a node to give a list of hosts, over sizes of the fleet and numbers of nodes that ask for it.
+//! Measures how long a node takes to pack a list of hosts for its partners, for several fleet sizes.
 
 use laurelstall_config::{
     document::{Document, DocumentName, Version},
@@ -12,7 +12,7 @@
 use std::{net::IpAddr, time::Instant};
 
 const SIZES: [usize; 3] = [100, 1_000, 2_000];
-/// Nodes that ask: as many as a node has partners.
+/// Number of nodes that pull the document: the usual number of partners.
 const ASKERS: usize = 6;
 
 #[derive(Debug)]
@@ -27,7 +27,7 @@
 fn list(hosts: usize, version: u64) -> Document {
     let host = |index: usize| {
         let ip = IpAddr::from([10, 0, (index / 250) as u8, (index % 250) as u8]);
-        // Every hundredth host has changed.
+        // One host in a hundred differs between versions.
         let is_changed = index % 100 == version as usize % 100;
         let state = if is_changed { HostState::Leaving } else { HostState::Live };
         Host {
--- a/crates/laurelstall_peer/src/attempt.rs
+++ b/crates/laurelstall_peer/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a call, as entry and guard see it, whether or not a network lies between.
+//! One attempt at a call, independent of whether entry and guard are on the same node.
 
 use crate::{body::AnswerBody, message::AttemptHead};
 use bytes::Bytes;
@@ -10,54 +10,54 @@
 use std::fmt;
 use tokio::sync::oneshot;
 
-/// The body of a request.
+/// Body of a request.
 #[derive(Debug)]
 pub enum AttemptBody {
-    /// All of it, so that it can be sent again.
+    /// The whole body, which can be sent again.
     Whole(Bytes),
     /// A stream that is read only after admission.
     Stream(AnswerBody),
 }
 
-/// Tells the entry that the guard admitted the call, so that its body is sent.
+/// Notifies the entry that the guard has admitted the call, so that it sends the body.
 #[derive(Debug, Default)]
 pub struct Admission(Option<oneshot::Sender<()>>);
 
 impl Admission {
-    /// An admission that somebody waits for.
+    /// Creates an admission that notifies `admitted`.
     pub fn new(admitted: oneshot::Sender<()>) -> Self {
         Self(Some(admitted))
     }
 
-    /// Says that the call has its slot.
+    /// Reports that the call has a slot.
     pub fn grant(&mut self) {
         if let Some(admitted) = self.0.take() {
-            // Nobody listens any more when the entry gave up; the call is then cancelled.
+            // The receiver is gone if the entry gave up; the call is then cancelled.
             let _ = admitted.send(());
         }
     }
 }
 
-/// One attempt.
+/// One attempt at a call.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Its head.
+    /// Head of the attempt.
     pub head: AttemptHead,
-    /// Its body.
+    /// Body of the request.
     pub body: AttemptBody,
 }
 
-/// Why nobody knows whether an attempt ran.
+/// Why it is unknown whether an attempt ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownCause {
-    /// Its answer was lost, in these words.
+    /// The answer was lost; contains the text for the caller.
     Lost(&'static str),
-    /// The target ended while it was at work there.
+    /// The target crashed while running the call.
     TargetEnded,
 }
 
 impl UnknownCause {
-    /// What callers are told.
+    /// Returns the text for callers.
     pub fn text(self) -> &'static str {
         match self {
             Self::Lost(text) => text,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The word used in logs.
+    /// Returns the label for logs.
     pub fn word(self) -> &'static str {
         match self {
             Self::Lost(_) => "unknown",
@@ -74,45 +74,45 @@
     }
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
     /// The target answered.
     Answered {
-        /// Its status.
+        /// HTTP status.
         status: StatusCode,
-        /// Its end-to-end headers.
+        /// End-to-end headers.
         headers: HeaderMap,
-        /// Its body, which may still break off.
+        /// Body of the answer, which may still fail.
         body: AnswerBody,
     },
-    /// Proved: no target saw a byte of the call, or said itself that it ran nothing.
+    /// Proof that no target received a byte of the call, or that the target reported not having run it.
     NotRun(Refusal),
-    /// The target may have run it.
+    /// The target may have run the call.
     Unknown(UnknownCause),
 }
 
-/// How an attempt ended, and how the target is.
+/// Result of an attempt with the state of the target.
 #[derive(Debug)]
 pub struct AttemptAnswer {
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: AttemptOutcome,
-    /// How the target is, if the budget for observing allowed to say.
+    /// Load hint on the target, if the budget for observation allowed one.
     pub hint: Option<Hint>,
-    /// What is known of its request, when the target ended while it was at work there.
+    /// Crash report on the request if the target crashed while running it.
     pub ended: Option<CrashNews>,
-    /// The body of a request that did not run and whose stream was not touched.
+    /// Unread body of a request that did not run.
     pub unread: Option<AnswerBody>,
 }
 
 impl AttemptAnswer {
-    /// An answer without a hint.
+    /// Creates an answer without a hint.
     pub fn new(outcome: AttemptOutcome) -> Self {
         Self { outcome, hint: None, ended: None, unread: None }
     }
 }
 
-/// Whoever runs attempts: the guard of this node's target.
+/// Runs attempts; implemented by the guard of this node's target.
 pub trait AttemptHandler: Send + Sync + fmt::Debug {
     /// Runs an attempt. Dropping the future cancels it.
     fn attempt(&self, attempt: Attempt, admission: Admission) -> BoxFuture<'_, AttemptAnswer>;
--- a/crates/laurelstall_peer/src/body.rs
+++ b/crates/laurelstall_peer/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way between HTTP and `h2` streams, a chunk at a time.
+//! Streams bodies between HTTP and `h2`.
 
 use bytes::Bytes;
 use h2::{Reason, RecvStream, SendStream};
@@ -11,15 +11,15 @@
     task::{Context, Poll, ready},
 };
 
-/// Why a body ended early.
+/// Error of a body that ended early.
 pub type BodyError = Box<dyn Error + Send + Sync>;
 
-/// A body whose source is not the receiver's business.
+/// A body from any source.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body that arrives on an `h2` stream, with what was read of it already.
+/// A body that arrives on an `h2` stream, preceded by data that was read already.
 ///
-/// The sender may send on only as this body is read, so its memory is bounded by the window.
+/// Flow control lets the sender continue only as this body is read, which bounds its memory use.
 #[derive(Debug)]
 pub struct StreamBody {
     first: Bytes,
@@ -28,7 +28,7 @@
 }
 
 impl StreamBody {
-    /// A body that starts with `first` and goes on with `stream`.
+    /// Creates a body that starts with `first` and continues with `stream`.
     pub fn new(first: Bytes, stream: RecvStream) -> Self {
         Self { first, stream, is_data_over: false }
     }
@@ -70,13 +70,13 @@
     }
 }
 
-/// Sends a body to its end, as fast as the receiver takes it.
+/// Sends a whole body, as fast as the receiver accepts it.
 ///
-/// A body that breaks off resets the stream: the receiver never takes a part for the whole.
+/// If the body fails, the stream is reset, so that the receiver does not take a part for the whole.
 ///
 /// # Errors
 ///
-/// What broke the body or the stream.
+/// The error of the body or the stream.
 pub async fn send_body(mut body: AnswerBody, stream: &mut SendStream<Bytes>) -> Result<(), BodyError> {
     while let Some(frame) = body.frame().await {
         let frame = frame.inspect_err(|_| stream.send_reset(Reason::INTERNAL_ERROR))?;
@@ -95,26 +95,27 @@
     Ok(())
 }
 
-/// Sends one piece of data without ending the stream.
+/// Sends data without ending the stream.
 ///
 /// # Errors
 ///
-/// What broke the stream.
+/// The error of the stream.
 pub async fn send_data(data: Bytes, stream: &mut SendStream<Bytes>) -> Result<(), BodyError> {
     let rest = send_all_but_rest(data, stream).await?;
-    // The receiving library takes a hundred empty frames on a connection for an attack.
+    // `h2` closes a connection after about a hundred empty frames, as a protection against attacks.
     if rest.is_empty() { Ok(()) } else { Ok(stream.send_data(rest, false)?) }
 }
 
-/// Sends the last piece of data; the stream ends with it, in the same write.
+/// Sends the last data of a stream, which ends in the same write.
 async fn send_last_data(data: Bytes, stream: &mut SendStream<Bytes>) -> Result<(), BodyError> {
     let rest = send_all_but_rest(data, stream).await?;
     Ok(stream.send_data(rest, true)?)
 }
 
-/// Sends what the receiver has no room for at once, and gives back the rest that it has room for.
+/// Sends the part of `data` that exceeds the flow-control window, and returns the rest, for which there is
+/// capacity.
 ///
-/// A small piece never waits here, so it goes out in one write with what was sent before.
+/// Small data is returned without waiting, so that it is sent in one write with the preceding frames.
 async fn send_all_but_rest(mut data: Bytes, stream: &mut SendStream<Bytes>) -> Result<Bytes, BodyError> {
     loop {
         stream.reserve_capacity(data.len());
--- a/crates/laurelstall_peer/src/carried_news.rs
+++ b/crates/laurelstall_peer/src/carried_news.rs
@@ -1,66 +1,66 @@
-//! What nodes tell each other of hosts and data centres after the platform came back from an older copy.
+//! Corrections that nodes exchange after the platform was restored from an older copy.
 
 use serde::{Deserialize, Serialize};
 
-/// A list of no hosts.
+/// A serialized list without hosts.
 const NO_HOSTS: &str = "{}";
 
-/// One start of a target on a host: what was said of it says nothing of the next start.
+/// One start of a target on a host. Corrections for it do not apply to later starts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostStart {
-    /// The host's name.
+    /// Name of the host.
     pub host: String,
-    /// The name of the target that registered itself there; empty where none does.
+    /// Name of the target that is registered there; empty if there is none.
     pub target: String,
-    /// When the target started, in ms of Unix time by its own clock; 0 when it does not say.
+    /// When the target started, in ms of Unix time by its own clock; 0 if unknown.
     pub started_unix_ms: u64,
 }
 
-/// How a host went out of service; of two words on one host the greater one counts.
+/// How a host went out of service. If two reports differ, the greater one wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Departed {
-    /// It said that it leaves.
+    /// The host announced that it leaves.
     Leaving,
-    /// It was taken from the list.
+    /// The host was removed from the list.
     Gone,
 }
 
 /// A host that went out of service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartedHost {
-    /// Which one.
+    /// The start of the host's target that went out of service.
     pub start: HostStart,
-    /// How.
+    /// How it went out of service.
     pub departed: Departed,
 }
 
-/// What operators said last of a data centre.
+/// Whether operators have evacuated a data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationWord {
-    /// Its name.
+    /// Name of the data centre.
     pub data_centre: String,
     /// Whether it is evacuated.
     pub is_evacuated: bool,
 }
 
-/// What a node carries over a return of the platform.
+/// Corrections to the list of hosts since a restore of the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CarriedNews {
-    /// The era that began with the return.
+    /// The era that began with the restore.
     pub era: u64,
-    /// Since the first read of that era that the node heard of, in ms.
+    /// Time since the first known read of that era, in ms.
     pub age_ms: u64,
-    /// Hosts that had gone out of service before.
+    /// Hosts that had gone out of service before the restore.
     pub departed: Vec<DepartedHost>,
-    /// A list of the hosts in service that the copy lacks, as a document.
+    /// Live hosts that the copy lacks, as the text of a fleet document.
     pub unlisted: String,
-    /// Data centres of which operators had spoken before.
+    /// Data centres that were evacuated, or returned to service, before the restore.
     pub evacuations: Vec<EvacuationWord>,
 }
 
 impl CarriedNews {
-    /// These news as they are told in a question, without the hosts that the copy lacks: of these there may be hundreds,
-    /// more than a question holds, and whoever lacks them asks itself.
+    /// Returns the corrections without the unlisted hosts, of which there may be more than a request may
+    /// hold. A node that lacks them requests them itself.
     pub fn in_question(self) -> Self {
         Self { unlisted: NO_HOSTS.to_owned(), ..self }
     }
--- a/crates/laurelstall_peer/src/client.rs
+++ b/crates/laurelstall_peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking other nodes.
+//! Sends requests to other nodes.
 
 use crate::{
     attempt::{Attempt, AttemptAnswer, AttemptBody, AttemptOutcome, UnknownCause},
@@ -28,20 +28,20 @@
     time::{Duration, sleep, timeout},
 };
 
-/// Longest a control message may take.
+/// Time limit for a control message and its answer.
 pub const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 quick_error! {
-    /// A control message that got no answer.
+    /// A control message that was not answered.
     #[derive(Debug)]
     pub enum PeerError {
-        /// No connection.
+        /// No connection could be opened.
         Connect(error: ConnectError) {
             display("{error}")
             source(error)
             from()
         }
-        /// The stream broke.
+        /// The stream failed.
         Stream(error: h2::Error) {
             display("{error}")
             source(error)
@@ -53,47 +53,47 @@
             source(error)
             from()
         }
-        /// No answer in time.
+        /// No answer arrived in time.
         TimedOut {
             display("no answer in time")
         }
-        /// The answer is not one to this question.
+        /// The answer does not match the request.
         Unexpected {
             display("unexpected answer")
         }
     }
 }
 
-/// The asking side of a node.
+/// Sends requests to other nodes.
 #[derive(Debug, Clone)]
 pub struct PeerClient {
     pool: Arc<Pool>,
 }
 
 impl PeerClient {
-    /// Asks over the connections of `pool`.
+    /// Creates a client that uses the connections of `pool`.
     pub fn new(pool: Arc<Pool>) -> Self {
         Self { pool }
     }
 
-    /// The connections.
+    /// Returns the connection pool.
     pub fn pool(&self) -> &Arc<Pool> {
         &self.pool
     }
 
-    /// Sends a control message and reads its answer.
+    /// Sends a control message and returns its answer.
     ///
     /// # Errors
     ///
-    /// [`PeerError`] when there is none.
+    /// [`PeerError`] if there is no valid answer in time.
     pub async fn ask(&self, address: SocketAddr, request: &PeerRequest) -> Result<PeerAnswer, PeerError> {
-        let asked = timeout(CONTROL_TIMEOUT, self.ask_unbounded(address, request)).await;
-        asked.map_err(|_| PeerError::TimedOut)?
+        let answered = timeout(CONTROL_TIMEOUT, self.request_untimed(address, request)).await;
+        answered.map_err(|_| PeerError::TimedOut)?
     }
 
     /// Runs an attempt at another node's target.
     ///
-    /// Dropping the future, or the body of its answer, cancels the attempt there.
+    /// Dropping the future, or the body of the answer, cancels the attempt.
     pub async fn attempt(&self, address: SocketAddr, attempt: Attempt) -> AttemptAnswer {
         let Attempt { head, body } = attempt;
         let call_id = head.call_id;
@@ -105,14 +105,14 @@
                 return not_sent(body);
             }
         };
-        let in_flight = sender.watch_over();
+        let in_flight = sender.monitor();
         let (mut response, mut stream) = match open(sender) {
             Ok(opened) => opened,
             Err(_) => return not_sent(body),
         };
         if kind == BodyKind::OnGo {
             let AttemptBody::Whole(bytes) = body else { return not_sent(body) };
-            return attempt_on_go(head, bytes, response, stream, in_flight).await;
+            return attempt_buffered(head, bytes, response, stream, in_flight).await;
         }
         let frame = encode(&PeerRequest::Attempt(head));
         let unsent = match send_head(frame, body, kind, &mut stream).await {
@@ -121,17 +121,17 @@
         };
         let mut reader = match (&mut response).await {
             Ok(response) => FrameReader::new(response.into_body()),
-            Err(error) => return broken(&error, unsent),
+            Err(error) => return stream_failure(&error, unsent),
         };
-        let mut held = Held { sending: None, _in_flight: in_flight };
+        let mut resources = AnswerResources { sending: None, _in_flight: in_flight };
         let answer = match (unsent, kind) {
             (Some(body), BodyKind::AfterAdmission) => match read_admission(&mut reader, body).await {
                 Ok(body) => {
-                    held.sending = Some(SendingTask::start(body, stream));
+                    resources.sending = Some(SendingTask::start(body, stream));
                     reader.read(HEAD_BYTES_MAX).await
                 }
                 Err((answer, body)) => {
-                    let mut answer = read_answer(answer, reader, call_id, held);
+                    let mut answer = read_answer(answer, reader, call_id, resources);
                     if matches!(answer.outcome, AttemptOutcome::NotRun(_)) {
                         answer.unread = Some(body);
                     }
@@ -140,16 +140,16 @@
             },
             _ => reader.read(HEAD_BYTES_MAX).await,
         };
-        read_answer(answer, reader, call_id, held)
+        read_answer(answer, reader, call_id, resources)
     }
 
-    async fn ask_unbounded(
+    async fn request_untimed(
         &self,
         address: SocketAddr,
         request: &PeerRequest,
     ) -> Result<PeerAnswer, PeerError> {
         let sender = self.pool.sender(address).await?;
-        let watch = UnansweredWatch::new(sender.watch_over());
+        let monitor = RequestMonitor::new(sender.monitor());
         let (response, mut stream) = open(sender)?;
         let frame = encode(request);
         self.pool.meter().note_control(frame.len());
@@ -158,37 +158,37 @@
         let mut reader = FrameReader::new(response.into_body());
         let answer = reader.read(DOCUMENTS_BYTES_MAX).await?;
         self.pool.meter().note_control(encoded_length(&answer));
-        watch.end();
+        monitor.end();
         Ok(answer)
     }
 }
 
-/// How long a connection is watched on which a message was not answered: longer than it takes to find out that it
-/// is silent.
-const UNANSWERED_WATCH: Duration = Duration::from_secs(1);
+/// How long a connection stays monitored after a request on it was abandoned: longer than the detection of
+/// a dead connection takes.
+const ABANDONED_MONITOR_TIME: Duration = Duration::from_secs(1);
 
-/// Has a connection watched while a message waits for its answer, and for a while longer if none comes.
+/// Monitors a connection while a request waits for its answer, and for a while longer if none arrives.
 ///
-/// Whoever asks may lose patience sooner than it takes to tell a silent connection from a slow node; without the
-/// rest of the watch the connection would be used again, and stay silent.
-struct UnansweredWatch(Option<InFlight>);
+/// A request may time out before the monitor can tell a dead connection from a slow node. Without the
+/// additional time the dead connection would be used again.
+struct RequestMonitor(Option<InFlight>);
 
-impl UnansweredWatch {
+impl RequestMonitor {
     fn new(in_flight: InFlight) -> Self {
         Self(Some(in_flight))
     }
 
-    /// Ends the watch: the answer has come.
+    /// Ends the monitoring, since the answer has arrived.
     fn end(mut self) {
         self.0 = None;
     }
 }
 
-impl Drop for UnansweredWatch {
+impl Drop for RequestMonitor {
     fn drop(&mut self) {
         let (Some(in_flight), Ok(runtime)) = (self.0.take(), Handle::try_current()) else { return };
         runtime.spawn(async move {
-            sleep(UNANSWERED_WATCH).await;
+            sleep(ABANDONED_MONITOR_TIME).await;
             drop(in_flight);
         });
     }
@@ -205,8 +205,8 @@
     sender.stream.send_request(request, false)
 }
 
-/// Runs an attempt whose body is the word to go: until it is sent, nothing can have run.
-async fn attempt_on_go(
+/// Runs an attempt whose guard buffers the body first: until the whole body is sent, nothing can have run.
+async fn attempt_buffered(
     head: AttemptHead,
     body: Bytes,
     response: ResponseFuture,
@@ -216,29 +216,29 @@
     let call_id = head.call_id;
     let budget = Duration::from_micros(head.budget_us);
     let frame = encode(&PeerRequest::Attempt(head));
-    let asked = timeout(budget, ask_for_slot(frame, response, &mut stream)).await;
-    let held = Held { sending: None, _in_flight: in_flight };
-    let mut reader = match asked {
+    let answered = timeout(budget, request_slot(frame, response, &mut stream)).await;
+    let resources = AnswerResources { sending: None, _in_flight: in_flight };
+    let mut reader = match answered {
         Ok(Ok((PeerAnswer::Admitted, reader))) => reader,
-        Ok(Ok((answer, reader))) => return read_answer(Ok(answer), reader, call_id, held),
+        Ok(Ok((answer, reader))) => return read_answer(Ok(answer), reader, call_id, resources),
         Ok(Err(_)) => return not_run(RefusalReason::NoConnection),
-        // Dropping the stream tells the guard, which has not had the word to go.
+        // Dropping the stream cancels the call at the guard, which has not received the body.
         Err(_) => return not_run(RefusalReason::Deadline),
     };
-    let gone = async {
+    let sent = async {
         if !body.is_empty() {
             send_data(body, &mut stream).await?;
         }
         stream.send_data(Bytes::new(), true).map_err(BodyError::from)
     };
-    if gone.await.is_err() {
+    if sent.await.is_err() {
         return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("stream broke")));
     }
     let answer = reader.read(HEAD_BYTES_MAX).await;
-    read_answer(answer, reader, call_id, held)
+    read_answer(answer, reader, call_id, resources)
 }
 
-async fn ask_for_slot(
+async fn request_slot(
     frame: Bytes,
     response: ResponseFuture,
     stream: &mut SendStream<Bytes>,
@@ -262,7 +262,7 @@
     answer
 }
 
-/// Sends the head, and the body with it unless it must wait; gives back a body that waits.
+/// Sends the head, and the body unless it must wait for admission; returns a body that waits.
 async fn send_head(
     frame: Bytes,
     body: AttemptBody,
@@ -289,8 +289,8 @@
     }
 }
 
-/// What a broken stream proves: only the library's word `REFUSED_STREAM` means *not run*.
-fn broken(error: &h2::Error, unread: Option<AnswerBody>) -> AttemptAnswer {
+/// Result of a failed stream. Only `REFUSED_STREAM` proves that the call has not run.
+fn stream_failure(error: &h2::Error, unread: Option<AnswerBody>) -> AttemptAnswer {
     let is_refused = error.is_remote() && error.reason() == Some(Reason::REFUSED_STREAM);
     if !is_refused {
         return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("stream broke")));
@@ -301,7 +301,7 @@
     answer
 }
 
-/// Waits for the word that the call has its slot; gives the body back with any other word.
+/// Waits for admission; returns the body together with any other answer.
 async fn read_admission(
     reader: &mut FrameReader,
     body: AnswerBody,
@@ -316,11 +316,11 @@
     answer: Result<PeerAnswer, FrameError>,
     reader: FrameReader,
     call_id: u64,
-    held: Held,
+    resources: AnswerResources,
 ) -> AttemptAnswer {
     let answer = match answer {
         Ok(answer) => answer,
-        Err(FrameError::Stream(error)) => return broken(&error, None),
+        Err(FrameError::Stream(error)) => return stream_failure(&error, None),
         Err(_) => {
             return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("unreadable answer")));
         }
@@ -328,17 +328,17 @@
     let (outcome, hint) = match answer {
         PeerAnswer::Answered { call_id: answered, status, headers, hint } => {
             assert_eq!(answered, call_id, "an answer came back on another call's stream");
-            (read_http(status, headers, reader, held), hint)
+            (read_http(status, headers, reader, resources), hint)
         }
         PeerAnswer::NotRun { call_id: answered, refusal, hint } => {
             assert_eq!(answered, call_id, "an answer came back on another call's stream");
             (AttemptOutcome::NotRun(refusal), hint)
         }
         PeerAnswer::Refused(refusal) => (AttemptOutcome::NotRun(refusal), None),
-        PeerAnswer::Unknown { ended: Some(news), hint, .. } => {
+        PeerAnswer::Unknown { ended: Some(report), hint, .. } => {
             let outcome = AttemptOutcome::Unknown(UnknownCause::TargetEnded);
             let hint = hint.map(Hint::from);
-            return AttemptAnswer { outcome, hint, ended: Some(news), unread: None };
+            return AttemptAnswer { outcome, hint, ended: Some(report), unread: None };
         }
         PeerAnswer::Unknown { hint, .. } => {
             (AttemptOutcome::Unknown(UnknownCause::Lost("lost at the target")), hint)
@@ -352,24 +352,24 @@
     status: u16,
     headers: Vec<(String, Vec<u8>)>,
     reader: FrameReader,
-    held: Held,
+    resources: AnswerResources,
 ) -> AttemptOutcome {
     let (Ok(status), Some(headers)) = (StatusCode::from_u16(status), headers_from_wire(&headers)) else {
         return AttemptOutcome::Unknown(UnknownCause::Lost("unreadable answer"));
     };
     let (first, stream): (Bytes, RecvStream) = reader.into_rest();
-    let body = GuardedBody { inner: StreamBody::new(first, stream), _held: held };
+    let body = GuardedBody { inner: StreamBody::new(first, stream), _resources: resources };
     AttemptOutcome::Answered { status, headers, body: body.boxed_unsync() }
 }
 
-/// Headers as they travel.
+/// Converts headers to their wire format.
 pub fn headers_to_wire(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
     let pair =
         |(name, value): (&HeaderName, &HeaderValue)| (name.as_str().to_owned(), value.as_bytes().to_vec());
     headers.iter().map(pair).collect()
 }
 
-/// Headers as they arrive; none when one is no header.
+/// Converts headers from their wire format; `None` if one of them is invalid.
 pub fn headers_from_wire(pairs: &[(String, Vec<u8>)]) -> Option<HeaderMap> {
     let mut headers = HeaderMap::with_capacity(pairs.len());
     for (name, value) in pairs {
@@ -379,21 +379,21 @@
     Some(headers)
 }
 
-/// The task that sends a request's body; it ends with whoever waits for the answer.
+/// The task that sends a request body; aborted when dropped.
 struct SendingTask(JoinHandle<()>);
 
 impl SendingTask {
     fn start(body: AnswerBody, mut stream: SendStream<Bytes>) -> Self {
         Self(tokio::spawn(async move {
             if let Err(error) = send_body(body, &mut stream).await {
-                log::debug!("request body broke off: {error}");
+                log::debug!("sending a request body failed: {error}");
             }
         }))
     }
 }
 
-/// What lives as long as somebody waits for the answer.
-struct Held {
+/// Resources that live until the answer is complete or abandoned.
+struct AnswerResources {
     sending: Option<SendingTask>,
     _in_flight: InFlight,
 }
@@ -406,7 +406,7 @@
 
 struct GuardedBody {
     inner: StreamBody,
-    _held: Held,
+    _resources: AnswerResources,
 }
 
 impl Body for GuardedBody {
--- a/crates/laurelstall_peer/src/delta.rs
+++ b/crates/laurelstall_peer/src/delta.rs
@@ -1,43 +1,43 @@
-//! A document's text on the wire: whole, or against a version the receiver has.
+//! Compresses the text of a document for transfer, either whole or as a delta to a version that the
+//! receiver holds.
 //!
-//! A delta is the new text compressed with the old one as dictionary, with a checksum of the
-//! result; the way of sending only what changed and checking the rebuilt whole follows
-//! "Frontier RL Is Cheaper Than You Think" (Fireworks), measured here in `docs/SPREADING.md`.
+//! A delta is the new text compressed with the old text as dictionary. A checksum verifies the rebuilt
+//! text. The method follows "Frontier RL Is Cheaper Than You Think" (Fireworks).
 
 use quick_error::quick_error;
 use std::io;
 use zstd::bulk::{Compressor, Decompressor};
 
-/// Compression level; higher ones gained under 3 % on published documents.
+/// Compression level.
 pub const LEVEL: i32 = 3;
 
 quick_error! {
     /// A text that could not be rebuilt.
     #[derive(Debug)]
     pub enum DeltaError {
-        /// The compressed bytes are broken.
+        /// The compressed bytes are invalid.
         Broken(error: io::Error) {
-            display("broken text: {error}")
+            display("invalid compressed text: {error}")
             source(error)
             from()
         }
-        /// The rebuilt text is not the one that was sent.
+        /// The checksum of the rebuilt text differs from that of the original.
         Checksum {
             display("the rebuilt text has another checksum")
         }
-        /// The text is not UTF-8.
+        /// The rebuilt text is not UTF-8.
         NotText {
             display("the rebuilt text is not UTF-8")
         }
     }
 }
 
-/// Compresses all of `text`.
+/// Compresses the whole of `text`.
 pub fn pack_whole(text: &str) -> Vec<u8> {
     zstd::bulk::compress(text.as_bytes(), LEVEL).expect("compressing in memory")
 }
 
-/// Compresses `text` against `base`.
+/// Compresses `text` as a delta to `base`.
 pub fn pack_delta(base: &str, text: &str) -> Vec<u8> {
     let compressor = Compressor::with_dictionary(LEVEL, base.as_bytes());
     let packed = compressor.and_then(|mut compressor| compressor.compress(text.as_bytes()));
@@ -48,17 +48,17 @@
 ///
 /// # Errors
 ///
-/// [`DeltaError`] when it cannot be rebuilt.
+/// [`DeltaError`] if the text cannot be rebuilt.
 pub fn unpack_whole(packed: &[u8], text_bytes: usize) -> Result<String, DeltaError> {
     let bytes = zstd::bulk::decompress(packed, text_bytes)?;
     String::from_utf8(bytes).map_err(|_| DeltaError::NotText)
 }
 
-/// Rebuilds a text of at most `text_bytes` from `base`.
+/// Rebuilds a text of at most `text_bytes` from `base` and a delta.
 ///
 /// # Errors
 ///
-/// [`DeltaError`] when it cannot be rebuilt.
+/// [`DeltaError`] if the text cannot be rebuilt.
 pub fn unpack_delta(base: &str, packed: &[u8], text_bytes: usize) -> Result<String, DeltaError> {
     let bytes = Decompressor::with_dictionary(base.as_bytes())?.decompress(packed, text_bytes)?;
     String::from_utf8(bytes).map_err(|_| DeltaError::NotText)
--- a/crates/laurelstall_peer/src/frame.rs
+++ b/crates/laurelstall_peer/src/frame.rs
@@ -1,4 +1,4 @@
-//! Heads on a stream: a version, a length, a `bincode` message.
+//! Encodes messages on a stream: a version, a length and a `bincode` payload.
 
 use bincode::config;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -6,22 +6,21 @@
 use quick_error::quick_error;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Version of the messages that this node speaks.
+/// Version of the message format.
 ///
-/// A message of any other version, or with a field this version does not know, is refused and
-/// never guessed at.
+/// Messages of other versions, or with unknown fields, are rejected.
 pub const MESSAGE_VERSION: u8 = 6;
-/// Longest head of an attempt or answer in bytes.
+/// Maximum length of the head of an attempt or answer in bytes.
 pub const HEAD_BYTES_MAX: usize = 256 * 1024;
-/// Longest message with documents in bytes.
+/// Maximum length of a message with documents in bytes.
 pub const DOCUMENTS_BYTES_MAX: usize = 4 * 1024 * 1024;
 const PREFIX_BYTES: usize = 5;
 
 quick_error! {
-    /// A stream that does not hold what it should.
+    /// A stream with invalid content.
     #[derive(Debug)]
     pub enum FrameError {
-        /// The other side speaks another version.
+        /// The message has another format version.
         Version(found: u8) {
             display("message version {found}, not {MESSAGE_VERSION}")
         }
@@ -29,7 +28,7 @@
         TooLong(bytes: usize) {
             display("message of {bytes} bytes")
         }
-        /// The message does not decode, or holds more than this version knows.
+        /// The message cannot be decoded, or has trailing bytes.
         Malformed(message: String) {
             display("malformed message: {message}")
         }
@@ -37,7 +36,7 @@
         Ended {
             display("stream ended inside a message")
         }
-        /// The stream broke.
+        /// The stream failed.
         Stream(error: h2::Error) {
             display("stream: {error}")
             source(error)
@@ -46,7 +45,7 @@
     }
 }
 
-/// Writes a message with its prefix.
+/// Encodes a message with its prefix.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
     let payload = bincode::serde::encode_to_vec(message, config::standard());
     let payload = payload.expect("messages hold nothing that cannot be encoded");
@@ -57,11 +56,11 @@
     frame.freeze()
 }
 
-/// Reads a message's payload.
+/// Decodes the payload of a message.
 ///
 /// # Errors
 ///
-/// [`FrameError::Malformed`] when it does not decode, or when bytes are left over.
+/// [`FrameError::Malformed`] if it cannot be decoded, or has trailing bytes.
 pub fn decode<T: DeserializeOwned>(payload: &[u8]) -> Result<T, FrameError> {
     let config = config::standard().with_limit::<DOCUMENTS_BYTES_MAX>();
     let decoded = bincode::serde::decode_from_slice(payload, config);
@@ -72,7 +71,7 @@
     Ok(message)
 }
 
-/// Reads messages, and then the body, from a stream.
+/// Reads messages and then the body from a stream.
 #[derive(Debug)]
 pub struct FrameReader {
     stream: RecvStream,
@@ -80,7 +79,7 @@
 }
 
 impl FrameReader {
-    /// Reads from `stream`.
+    /// Creates a reader of `stream`.
     pub fn new(stream: RecvStream) -> Self {
         Self { stream, buffer: BytesMut::new() }
     }
@@ -89,7 +88,7 @@
     ///
     /// # Errors
     ///
-    /// [`FrameError`]; after one, nothing more can be read.
+    /// [`FrameError`]; nothing more can be read after one.
     pub async fn read<T: DeserializeOwned>(&mut self, bytes_max: usize) -> Result<T, FrameError> {
         self.fill(PREFIX_BYTES).await?;
         let version = self.buffer[0];
@@ -106,7 +105,7 @@
         decode(&payload)
     }
 
-    /// The rest of the stream: what was read too far, and the stream itself.
+    /// Returns the data that was read too far, and the rest of the stream.
     pub fn into_rest(self) -> (Bytes, RecvStream) {
         (self.buffer.freeze(), self.stream)
     }
--- a/crates/laurelstall_peer/src/lib.rs
+++ b/crates/laurelstall_peer/src/lib.rs
@@ -1,5 +1,5 @@
-//! What nodes say to each other: attempts at calls, probes, tickets, and the spreading of
-//! configuration, over `h2` streams with `bincode` heads.
+//! Communication between nodes: attempts at calls, probes, tickets and replication of the configuration, as
+//! `bincode` messages on `h2` streams.
 
 pub mod attempt;
 pub mod body;
@@ -22,7 +22,7 @@
 pub mod spread_state;
 pub mod store;
 
-/// The types most callers need.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::{
         attempt::{Admission, Attempt, AttemptAnswer, AttemptBody, AttemptHandler, AttemptOutcome},
--- a/crates/laurelstall_peer/src/link.rs
+++ b/crates/laurelstall_peer/src/link.rs
@@ -1,17 +1,17 @@
-//! The border to the network between nodes, where tests bring about its failures.
+//! Abstraction of the network between nodes, for fault injection in tests.
 
 use std::{fmt, net::SocketAddr};
 
-/// What a connection asks of the network.
+/// State of the network between this node and others.
 pub trait Link: Send + Sync + fmt::Debug {
-    /// Whether nothing passes between this node and `other` now.
+    /// Whether the network between this node and `other` is partitioned.
     ///
-    /// A connection over a cut link takes what is written and delivers nothing; once the link is
-    /// back, it turns out to be broken.
+    /// A connection over a cut link accepts writes without delivering them, and is reset once the link
+    /// works again.
     fn is_cut(&self, other: SocketAddr) -> bool;
 }
 
-/// The network as it is.
+/// A network without faults.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OpenLink;
 
--- a/crates/laurelstall_peer/src/message.rs
+++ b/crates/laurelstall_peer/src/message.rs
@@ -9,71 +9,71 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// How a request body comes.
+/// When the body of a request is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BodyKind {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// It follows the head at once.
+    /// The body follows the head immediately.
     AtOnce,
-    /// It follows once the guard said [`PeerAnswer::Admitted`], so that a refused call still
-    /// has its body and can go elsewhere.
+    /// The body follows after [`PeerAnswer::Admitted`], so that a rejected call still has its body for
+    /// another attempt.
     AfterAdmission,
-    /// It follows once the guard said [`PeerAnswer::Admitted`], and the target sees nothing before all of
-    /// it has come: a call that only waits when its node or the way to it dies has not run.
+    /// The body follows after [`PeerAnswer::Admitted`], and the guard buffers all of it before the target
+    /// receives anything. A call that was queued when its node or connection failed has therefore not run.
     OnGo,
 }
 
-/// The head of one attempt at a call.
+/// Head of one attempt at a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptHead {
-    /// The call's number, the same in the answer.
+    /// Number of the call, repeated in the answer.
     pub call_id: u64,
     /// Full name of the service.
     pub service: String,
-    /// The target that must run it.
+    /// Name of the target that runs the call.
     pub target: String,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub uri: String,
-    /// What makes it the same request as another one.
+    /// Digest that identifies identical requests.
     pub digest: RequestDigest,
     /// End-to-end headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Time left in µs, counted from when the head is read.
+    /// Remaining time budget in µs, counted from when the head is read.
     pub budget_us: u64,
-    /// Time in which the answer has its full worth in µs, counted like the budget.
+    /// Time in µs within which the answer is fully useful, counted like the budget.
     pub useful_us: u64,
-    /// The class of the call: calls of one route do about the same work.
+    /// Class of the call; calls of the same route have the same class and similar costs.
     pub class: u32,
-    /// Importance; higher leaves a queue first.
+    /// Importance; calls of higher importance leave a queue first.
     pub importance: u8,
-    /// Name of its workspace within the team of the service; empty for none.
+    /// Name of the workspace within the team of the service; empty for none.
     pub workspace: String,
-    /// Whether the call comes back after an earlier attempt of its caller.
+    /// Whether the caller retries a call after an earlier attempt.
     pub is_return: bool,
-    /// Whether a target may have run it before, or a run that makes it is such a repeat: the calls that this run makes
-    /// are repeats as well.
+    /// Whether a target may have run the call before, or whether the calling request is itself such a
+    /// repeat. Calls made by a repeat are repeats as well.
     pub is_repeat: bool,
-    /// Whether the call may run more than once.
+    /// Whether the call is safe to run more than once.
     pub may_repeat: bool,
-    /// Whether the guard may hand the call back while it waits.
+    /// Whether the guard may hand back the call while it is queued.
     pub may_hand_back: bool,
-    /// Times it was handed back before.
+    /// Number of times that the call was handed back.
     pub hand_backs: u32,
-    /// Slowness of its target from which the guard refuses the call, in percent of the usual; none when
-    /// it is to run however slow the target is.
+    /// Slowness of the target, in percent of its normal speed, from which the guard rejects the call;
+    /// `None` to run it at any speed.
     pub slow_from_percent: Option<u32>,
-    /// Incarnation and number of the ticket it brings.
+    /// Incarnation of the guard and number of the ticket that the call uses.
     pub ticket: Option<(u64, u64)>,
-    /// How its body comes.
+    /// When the body is sent.
     pub body: BodyKind,
-    /// Whether the answer may carry a hint.
+    /// Whether the answer may contain a hint.
     pub wants_hint: bool,
 }
 
-/// A guard's word on its target, as it travels.
+/// A load hint on a target in wire format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireHint {
     incarnation: u32,
@@ -118,166 +118,165 @@
     u16::try_from(count).unwrap_or(u16::MAX)
 }
 
-/// Asks a guard for tickets.
+/// Requests tickets from a guard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketsRequest {
     /// Full name of the service.
     pub service: String,
-    /// The target they are for.
+    /// Name of the target for which the tickets are valid.
     pub target: String,
-    /// How many.
+    /// Number of tickets.
     pub count: u32,
 }
 
-/// A document and what the asker has of it.
+/// A document to pull, with the version that the requesting node holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PullItem {
-    /// Which document.
+    /// Name of the document.
     pub name: DocumentName,
-    /// The version the asker has; [`Version::NONE`] for none.
+    /// Version that the requesting node holds, or [`Version::NONE`].
     pub known_version: Version,
-    /// Checksum of that version's text.
+    /// Checksum of the text of that version.
     pub known_checksum: u64,
 }
 
-/// A document's text on its way.
+/// Text of a document in transfer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransferText {
-    /// All of it, compressed.
+    /// The whole text, compressed.
     Whole(Vec<u8>),
-    /// Compressed against the version the asker has.
+    /// A compressed delta to the version that the requesting node holds.
     Delta(Vec<u8>),
 }
 
-/// A document on its way.
+/// A document in transfer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// Which document.
+    /// Name of the document.
     pub name: DocumentName,
-    /// Its version.
+    /// Version of the document.
     pub version: Version,
-    /// Checksum of its text.
+    /// Checksum of the text.
     pub checksum: u64,
-    /// Bytes of its text.
+    /// Length of the text in bytes.
     pub text_bytes: u32,
-    /// Since a node read it from the platform, in ms.
+    /// Time since a node read the document from the platform, in ms.
     pub read_age_ms: u64,
-    /// Its text.
+    /// The packed text.
     pub text: TransferText,
 }
 
-/// Which versions a node has, and how old its news from the platform is.
+/// Summary of a node's versions and its knowledge of the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Hash of all versions.
+    /// Hash of all held versions.
     pub versions_hash: u64,
-    /// Since a platform read that the node heard of, in ms.
+    /// Time since the last known read of the platform, in ms.
     pub platform_read_age_ms: u64,
-    /// Since the first of the platform reads that the node heard of without an outage between them, in ms.
+    /// Time since the first platform read that no outage separates from the last one, in ms.
     pub platform_reads_from_age_ms: u64,
-    /// Since the platform came back after it was away, as far as the node heard, in ms; none when
-    /// it never was.
+    /// Time since the last known outage of the platform ended, in ms; `None` if there was none.
     pub platform_return_age_ms: Option<u64>,
-    /// Hash of what is known of requests that ended targets.
+    /// Hash of all crash reports.
     pub crashes_hash: u64,
-    /// Hash of what is carried over the last return of the platform; 0 for nothing.
+    /// Hash of the corrections since the last restore of the platform; 0 for none.
     pub carried_hash: u64,
-    /// The documents held are at least as new as the platform's were so long ago, in ms.
+    /// Time since which the platform has held nothing newer than this node at most, in ms.
     pub documents_age_ms: u64,
 }
 
-/// What a node asks of another.
+/// A request to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Run a call.
+    /// Run an attempt at a call.
     Attempt(AttemptHead),
-    /// Say how your target is.
+    /// Return the load hint of the node's target.
     Probe,
-    /// Give tickets.
+    /// Issue tickets.
     Tickets(TicketsRequest),
     /// Compare versions.
     Exchange(Exchange),
-    /// The sender, at this address, has these versions, and this news from the platform.
+    /// Offer versions: the address and status of the sender, and the versions.
     Offer(SocketAddr, Exchange, Vec<(DocumentName, Version)>),
-    /// Send documents newer than these.
+    /// Send the newer versions of these documents.
     Pull(Vec<PullItem>),
-    /// Say whether you can read the platform.
+    /// Return whether the node can read the platform.
     CanRead,
-    /// The sender has just heard this of requests that ended targets.
+    /// New crash reports.
     CrashNews(Vec<CrashNews>),
-    /// The sender knows this of requests that ended targets, and nothing else: say what you know besides.
+    /// All crash reports of the sender; the answer contains those that it lacks.
     CompareCrashes(Vec<CrashNews>),
-    /// The sender carries this over the last return of the platform: say what you do.
+    /// The corrections of the sender; the answer contains those of the node.
     CompareCarried(Option<CarriedNews>),
-    /// Give so many tokens of a share that you own.
+    /// Take tokens from a share that the node owns.
     TakeTokens(ShareKey, u32),
-    /// The calls of so many tokens did not run.
+    /// Return tokens of calls that did not run.
     ReturnTokens(ShareKey, u32),
 }
 
-/// What a node answers.
+/// An answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// The call has a slot: send its body.
+    /// The call has a slot; its body is to be sent.
     Admitted,
     /// The target answered; the body follows.
     Answered {
-        /// The call's number.
+        /// Number of the call.
         call_id: u64,
         /// HTTP status.
         status: u16,
         /// End-to-end headers.
         headers: Vec<(String, Vec<u8>)>,
-        /// How the target is.
+        /// Load hint on the target.
         hint: Option<WireHint>,
     },
     /// The call did not run.
     NotRun {
-        /// The call's number.
+        /// Number of the call.
         call_id: u64,
-        /// Why.
+        /// Why the call did not run.
         refusal: Refusal,
-        /// How the target is.
+        /// Load hint on the target.
         hint: Option<WireHint>,
     },
-    /// The call may have run.
+    /// Whether the call ran is unknown.
     Unknown {
-        /// The call's number.
+        /// Number of the call.
         call_id: u64,
-        /// What is known of the call's request, when the target ended while it was at work there.
+        /// Crash report on the request if the target crashed while running it.
         ended: Option<CrashNews>,
-        /// How the target is.
+        /// Load hint on the target.
         hint: Option<WireHint>,
     },
-    /// How the target is; none when the budget for observing is spent.
+    /// The load hint; `None` if the budget for observation is used up.
     Probed(Option<WireHint>),
-    /// Tickets with consecutive numbers.
+    /// Issued tickets with consecutive numbers.
     Tickets {
-        /// The guard's start.
+        /// Incarnation of the guard.
         incarnation: u64,
-        /// The first number.
+        /// Number of the first ticket.
         first: u64,
-        /// How many.
+        /// Number of tickets.
         count: u32,
-        /// Lifetime in ms.
+        /// Lifetime of the tickets in ms.
         lifetime_ms: u64,
     },
-    /// Versions are the same on both sides.
+    /// Both nodes hold the same versions.
     Same(Exchange),
-    /// Versions differ; these are here.
+    /// The versions differ; these are the ones held here.
     Versions(Exchange, Vec<(DocumentName, Version)>),
-    /// Documents that were asked for.
+    /// The requested documents.
     Documents(Vec<Transfer>),
-    /// Taken note of.
+    /// The message was processed; there is nothing to return.
     Noted,
     /// Whether the last read of the platform, if there was one, succeeded.
     CanRead(bool),
-    /// What is known here of requests that ended targets.
+    /// The crash reports that the requesting node lacks.
     Crashes(Vec<CrashNews>),
-    /// What is carried here over the last return of the platform.
+    /// The corrections since the last restore of the platform.
     Carried(Option<CarriedNews>),
-    /// Tokens; none when another node may own the share.
+    /// Granted tokens; `None` if another node may own the share.
     Tokens(Option<Grant>),
-    /// Not done, for this reason.
+    /// The request was rejected for this reason.
     Refused(Refusal),
 }
--- a/crates/laurelstall_peer/src/meter.rs
+++ b/crates/laurelstall_peer/src/meter.rs
@@ -1,4 +1,4 @@
-//! Bytes on connections between nodes.
+//! Counts traffic on connections between nodes.
 
 use crate::link::Link;
 use std::{
@@ -18,27 +18,27 @@
     time::{Duration, Sleep, sleep},
 };
 
-/// Counts of what passed between this node and others.
+/// Traffic counters of a node.
 #[derive(Debug, Default)]
 pub struct Meter {
-    /// Bytes received, of everything.
+    /// Total bytes received.
     pub received_bytes: AtomicU64,
-    /// Bytes sent, of everything.
+    /// Total bytes sent.
     pub sent_bytes: AtomicU64,
-    /// Bytes of control messages, both directions: exchanges, offers, pulls, probes, hints.
+    /// Bytes of control messages in both directions: exchanges, offers, pulls, probes, hints.
     pub control_bytes: AtomicU64,
-    /// Control messages, both directions.
+    /// Number of control messages in both directions.
     pub control_messages: AtomicU64,
-    /// Connections opened.
+    /// Number of connections that this node opened.
     pub opened: AtomicU64,
-    /// Connections open now, both ways.
+    /// Number of open connections in both directions.
     pub open: AtomicU64,
-    /// Messages that were refused as unreadable.
+    /// Number of messages that were rejected as unreadable.
     pub unreadable: AtomicU64,
 }
 
-/// What a control message costs besides its payload: two `h2` frames, header fields in their
-/// indexed form, and a TCP/IP header. Checked against counted connections in a test.
+/// Overhead of a control message beyond its payload: two `h2` frames with indexed header fields, and a
+/// TCP/IP header.
 pub const MESSAGE_OVERHEAD_BYTES: u64 = 90;
 
 impl Meter {
@@ -49,21 +49,21 @@
     }
 }
 
-/// What goes on on one connection, for whoever watches over it.
+/// Activity of one connection, read by its monitor.
 #[derive(Debug, Default)]
 pub struct Activity {
-    /// Bytes received on it.
+    /// Bytes received on the connection.
     pub received_bytes: AtomicU64,
-    /// Attempts that wait for something on it.
+    /// Number of requests that wait for data on the connection.
     pub in_flight: AtomicU64,
 }
 
-/// One attempt that waits for something on a connection.
+/// Counts as a request that waits on a connection, until it is dropped.
 #[derive(Debug)]
 pub struct InFlight(Arc<Activity>);
 
 impl InFlight {
-    /// Counts one more until it is dropped.
+    /// Counts one more waiting request.
     pub fn new(activity: Arc<Activity>) -> Self {
         activity.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(activity)
@@ -76,10 +76,10 @@
     }
 }
 
-/// Pause between two looks whether a cut link is back.
-const CUT_LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a connection over a cut link checks whether the link works again.
+const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A connection whose bytes are counted.
+/// A TCP stream that counts its bytes.
 #[derive(Debug)]
 pub struct MeteredStream {
     inner: TcpStream,
@@ -87,23 +87,23 @@
     activity: Arc<Activity>,
     link: Option<(Arc<dyn Link>, SocketAddr)>,
     was_cut: bool,
-    look: Option<Pin<Box<Sleep>>>,
+    cut_check: Option<Pin<Box<Sleep>>>,
 }
 
 impl MeteredStream {
-    /// Counts the bytes of `inner` in `meter`.
+    /// Wraps `inner` and counts its bytes in `meter`.
     pub fn new(inner: TcpStream, meter: Arc<Meter>) -> Self {
         meter.open.fetch_add(1, Ordering::Relaxed);
-        Self { inner, meter, activity: Arc::default(), link: None, was_cut: false, look: None }
+        Self { inner, meter, activity: Arc::default(), link: None, was_cut: false, cut_check: None }
     }
 
-    /// Lets the connection fail as `link` to `other` does.
+    /// Makes the connection fail whenever `link` to `other` is cut.
     pub fn with_link(mut self, link: Arc<dyn Link>, other: SocketAddr) -> Self {
         self.link = Some((link, other));
         self
     }
 
-    /// What goes on on it.
+    /// Returns the activity of the connection.
     pub fn activity(&self) -> Arc<Activity> {
         self.activity.clone()
     }
@@ -117,13 +117,13 @@
         Ok(is_cut)
     }
 
-    fn look_later(&mut self, cx: &mut Context<'_>) {
+    fn poll_cut_check(&mut self, cx: &mut Context<'_>) {
         loop {
-            let look = self.look.get_or_insert_with(|| Box::pin(sleep(CUT_LOOK_INTERVAL)));
-            if look.as_mut().poll(cx).is_pending() {
+            let cut_check = self.cut_check.get_or_insert_with(|| Box::pin(sleep(CUT_CHECK_INTERVAL)));
+            if cut_check.as_mut().poll(cx).is_pending() {
                 return;
             }
-            self.look = None;
+            self.cut_check = None;
         }
     }
 }
@@ -141,7 +141,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.is_cut()? {
-            self.look_later(cx);
+            self.poll_cut_check(cx);
             return Poll::Pending;
         }
         let before = buf.filled().len();
--- a/crates/laurelstall_peer/src/partner_pauses.rs
+++ b/crates/laurelstall_peer/src/partner_pauses.rs
@@ -1,50 +1,51 @@
-//! Partners that do not answer are asked less and less often.
+//! Exponential backoff for partners that do not answer.
 
 use std::{collections::HashMap, net::SocketAddr};
 
-/// Longest pause of a partner that does not answer, in turns.
-const TURNS_MAX: u32 = 32;
+/// Maximum number of skipped rounds for a partner.
+const ROUNDS_MAX: u32 = 32;
 
 #[derive(Debug, Clone, Copy)]
-struct Pause {
-    left: u32,
+struct Backoff {
+    remaining: u32,
     length: u32,
 }
 
-/// The pauses of partners, counted in turns at which they would be asked.
+/// Backoff of each failing partner, counted in the rounds in which it would be contacted.
 #[derive(Debug, Default)]
-pub struct PartnerPauses {
-    pauses: HashMap<SocketAddr, Pause>,
+pub struct PartnerBackoff {
+    backoff: HashMap<SocketAddr, Backoff>,
 }
 
-impl PartnerPauses {
-    /// Forgets all but these partners.
-    pub fn keep_only(&mut self, partners: &[SocketAddr]) {
-        self.pauses.retain(|address, _| partners.contains(address));
+impl PartnerBackoff {
+    /// Drops the state of all nodes that are not in `partners`.
+    pub fn retain(&mut self, partners: &[SocketAddr]) {
+        self.backoff.retain(|address, _| partners.contains(address));
     }
 
-    /// Takes a partner's turn; false while it pauses.
-    pub fn take_turn(&mut self, address: SocketAddr) -> bool {
-        match self.pauses.get_mut(&address) {
-            Some(pause) if pause.left > 0 => {
-                pause.left -= 1;
+    /// Counts a round of a partner; returns `false` if the partner is to be skipped.
+    pub fn is_due(&mut self, address: SocketAddr) -> bool {
+        match self.backoff.get_mut(&address) {
+            Some(backoff) if backoff.remaining > 0 => {
+                backoff.remaining -= 1;
                 false
             }
             _ => true,
         }
     }
 
-    /// Notes that a partner answered.
-    pub fn note_reached(&mut self, address: SocketAddr) {
-        self.pauses.remove(&address);
+    /// Records that a partner answered.
+    pub fn note_success(&mut self, address: SocketAddr) {
+        self.backoff.remove(&address);
     }
 
-    /// Notes that a partner did not answer: its pause doubles. True when it has been away for long.
-    pub fn note_failed(&mut self, address: SocketAddr) -> bool {
-        let pause = self.pauses.entry(address).or_insert(Pause { left: 0, length: 1 });
-        let is_long_away = pause.length >= TURNS_MAX;
-        pause.left = pause.length;
-        pause.length = (pause.length * 2).min(TURNS_MAX);
-        is_long_away
+    /// Records that a partner did not answer, which doubles its backoff. Returns `true` if the backoff was
+    /// at its maximum already.
+    pub fn note_failure(&mut self, address: SocketAddr) -> bool {
+        let backoff = self.backoff.entry(address).or_insert(Backoff { remaining: 0, length: 1 });
+        let is_at_maximum = backoff.length >= ROUNDS_MAX;
+        backoff.remaining = backoff.length;
+        backoff.length = (backoff.length * 2).min(ROUNDS_MAX);
+        is_at_maximum
     }
 }
--- a/crates/laurelstall_peer/src/partners.rs
+++ b/crates/laurelstall_peer/src/partners.rs
@@ -1,18 +1,18 @@
-//! Who watches the platform, and with whom a node exchanges versions.
+//! Chooses the readers of the platform and the partners of a node.
 
 use laurelstall_config::fleet::{Fleet, Host, HostState};
 use rand::{SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Seed of the hash that picks readers.
+/// Seed of the hash that determines the reader order.
 const READER_SEED: u64 = 0x1a75;
 
-/// The live hosts of a data centre that come before `host` in the order in which they read the platform: the
-/// first few do, the next ones stand by.
+/// Returns the live hosts of a data centre that precede `host` in the reader order. The first few hosts of
+/// that order read the platform, the next ones are standbys.
 ///
-/// Rendezvous hashing over the live hosts: each node decides alike from the same list, and a
-/// host that comes or goes moves at most one reader.
+/// Uses rendezvous hashing: all nodes compute the same order from the same list, and a host that joins or
+/// leaves changes at most one reader.
 pub fn hosts_ahead<'a>(fleet: &'a Fleet, host: &str, data_centre: &str) -> Vec<&'a Host> {
     let own = weight(host);
     let is_ahead = |other: &&Host| {
@@ -21,14 +21,13 @@
     fleet.hosts.iter().filter(is_ahead).collect()
 }
 
-/// Hosts of other data centres among the hosts to exchange versions with, where the own one has enough: each data
-/// centre has readers of its own, so news seldom has to come from another one.
-const FAR_PARTNERS: usize = 1;
+/// Number of partners in other data centres. One suffices, since each data centre has its own readers.
+const REMOTE_PARTNERS: usize = 1;
 
-/// Hosts to exchange versions with: most of them of the own data centre, near ones first.
+/// Picks the partners of a host, most of them in its own data centre.
 ///
-/// The pick is random but lasts as long as `seed` and the fleet do, so connections stay open. A random graph of
-/// degree 6 reaches the hundred nodes of a data centre in three steps.
+/// The pick is random but depends only on `seed` and the list of hosts, so that connections stay open. With
+/// six partners each, an update reaches a hundred nodes in about three hops.
 pub fn pick_partners<'a>(
     fleet: &'a Fleet,
     host: &str,
@@ -38,23 +37,23 @@
 ) -> Vec<&'a Host> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let others = fleet.hosts.iter().filter(|other| other.name != host);
-    let (near, far): (Vec<_>, Vec<_>) = others.partition(|other| other.data_centre == data_centre);
-    let far_count = FAR_PARTNERS.min(far.len()).min(count);
-    let near_count = (count - far_count).min(near.len());
-    let far_count = (count - near_count).min(far.len());
-    let mut partners = near.sample(&mut rng, near_count).copied().collect::<Vec<_>>();
-    partners.extend(far.sample(&mut rng, far_count).copied());
+    let (local, remote): (Vec<_>, Vec<_>) = others.partition(|other| other.data_centre == data_centre);
+    let remote_count = REMOTE_PARTNERS.min(remote.len()).min(count);
+    let local_count = (count - remote_count).min(local.len());
+    let remote_count = (count - local_count).min(remote.len());
+    let mut partners = local.sample(&mut rng, local_count).copied().collect::<Vec<_>>();
+    partners.extend(remote.sample(&mut rng, remote_count).copied());
     partners
 }
 
-/// Some hosts at random of other data centres than `data_centre`.
-pub fn pick_far(fleet: &Fleet, data_centre: &str, count: usize, rng: &mut SmallRng) -> Vec<SocketAddr> {
-    let far = fleet.hosts.iter().filter(|other| other.data_centre != data_centre);
-    let far = far.map(|other| other.node_address).collect::<Vec<_>>();
-    far.sample(rng, count).copied().collect()
+/// Picks random hosts outside `data_centre`.
+pub fn pick_remote(fleet: &Fleet, data_centre: &str, count: usize, rng: &mut SmallRng) -> Vec<SocketAddr> {
+    let remote = fleet.hosts.iter().filter(|other| other.data_centre != data_centre);
+    let remote = remote.map(|other| other.node_address).collect::<Vec<_>>();
+    remote.sample(rng, count).copied().collect()
 }
 
-/// Some hosts at random that are neither `host` itself nor among `partners`.
+/// Picks random hosts other than `host` and its partners.
 pub fn pick_others(
     fleet: &Fleet,
     host: &str,
@@ -67,9 +66,9 @@
     others.sample(rng, count).copied().collect()
 }
 
-/// Whether `host` is the one live host whose node tries a request that was held back for long.
+/// Whether `host` is the one live host whose node tries a quarantined request again.
 ///
-/// Rendezvous hashing, as for readers: each node decides alike from the same list.
+/// Uses rendezvous hashing, so all nodes choose the same host from the same list.
 pub fn is_tried_by(fleet: &Fleet, host: &str, digest: u64) -> bool {
     let weight = |name: &str| (xxh3_64_with_seed(name.as_bytes(), digest), name.to_owned());
     let live = fleet.hosts.iter().filter(|other| other.state == HostState::Live);
--- a/crates/laurelstall_peer/src/platform.rs
+++ b/crates/laurelstall_peer/src/platform.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's configuration service, which can only be read.
+//! Read-only interface to the platform's configuration service.
 
 use futures_util::future::{BoxFuture, FutureExt};
 use laurelstall_config::{
@@ -8,56 +8,57 @@
 use quick_error::quick_error;
 use std::fmt;
 
-/// What the platform has.
+/// The document versions that the platform holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// How often the platform had come back from an older copy: its sequence and the versions that it counts itself
-    /// may have gone back each time.
+    /// How often the platform was restored from an older copy. Each restore may decrease the sequence and
+    /// those versions that the platform assigns.
     pub era: u64,
-    /// Grows with each change; a watch waits for one above the last seen.
+    /// Increases with each change; a watch waits for a greater one than the last.
     pub sequence: u64,
     /// The newest version of each document.
     pub versions: Vec<(DocumentName, Version)>,
 }
 
-/// What the platform had some seconds ago, as far as a stale read tells.
+/// Document versions of a stale read, some seconds old.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StaleListing {
-    /// How often the platform had come back from an older copy.
+    /// How often the platform was restored from an older copy.
     pub era: u64,
     /// The version of each document.
     pub versions: Vec<(DocumentName, Version)>,
-    /// Documents of these whose parts may be from different moments: no other node need have the same text
-    /// under this version.
+    /// Those documents whose parts may be from different moments. The text of other nodes for the same
+    /// version may differ.
     pub mixed: Vec<DocumentName>,
 }
 
 quick_error! {
-    /// A read that failed.
+    /// A failed read of the platform.
     #[derive(Debug)]
     pub enum PlatformError {
-        /// The platform did not answer, or not well.
+        /// The platform did not answer, or answered with an error.
         Unreachable(message: String) {
             display("{message}")
         }
     }
 }
 
-/// A reader of the platform.
+/// Reads documents from the platform.
 pub trait PlatformSource: Send + Sync + fmt::Debug {
-    /// Waits for a listing with a sequence above `after`, or for the watch to end.
+    /// Waits until the sequence exceeds `after`, or until the watch times out.
     fn watch(&self, after: Option<u64>) -> BoxFuture<'_, Result<Listing, PlatformError>>;
 
-    /// Lists all once, at the least cost for the platform: what it tells may be seconds old, and parts of one document
-    /// may be from different moments. None from a source that knows no such read.
+    /// Lists all documents once, at the lowest cost for the platform. The result may be seconds old, and
+    /// parts of a document may be from different moments. Returns `None` if the source does not support
+    /// such reads.
     fn read_stale(&self) -> BoxFuture<'_, Result<Option<StaleListing>, PlatformError>> {
         async { Ok(None) }.boxed()
     }
 
-    /// Told of the latest era of the platform that another node has read in, for sources whose answers may not say it.
+    /// Called with the latest known era of the platform, for sources whose answers may lack it.
     fn note_era(&self, _era: u64) {}
 
-    /// Takes changed settings; a source that has none of them keeps what it was made with.
+    /// Applies changed settings. A source without settings ignores them.
     fn set_settings(&self, _settings: &PlatformSettings) {}
 
     /// Reads one document.
--- a/crates/laurelstall_peer/src/pool.rs
+++ b/crates/laurelstall_peer/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to other nodes: one for each, opened on first use, closed when idle.
+//! Pool of connections to other nodes: one per node, opened on first use and closed when idle.
 
 use crate::{
     link::Link,
@@ -25,52 +25,52 @@
     time::{Duration, sleep, timeout},
 };
 
-/// Longest time to open a connection.
+/// Time limit for opening a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A connection unused for so long is closed.
+/// Time after which an unused connection is closed.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Most connections that this node opens.
+/// Maximum number of connections that this node opens.
 pub const CONNECTIONS_MAX: usize = 1_024;
-/// First pause after a failed connection in µs; doubles with each, with jitter.
+/// First pause after a failed connection in µs; doubles with each failure, with jitter.
 const BACKOFF_FIRST_US: u64 = 50_000;
 const BACKOFF_MAX_US: u64 = 5_000_000;
-/// Window of one stream and of a connection in bytes: what one call, and all, may buffer.
+/// Flow-control windows of a stream and of a connection in bytes.
 pub const STREAM_WINDOW_BYTES: u32 = 128 * 1024;
 /// See [`STREAM_WINDOW_BYTES`].
 pub const CONNECTION_WINDOW_BYTES: u32 = 1024 * 1024;
 
 quick_error! {
-    /// No connection: proof that nothing was sent.
+    /// No connection is available; nothing was sent.
     #[derive(Debug)]
     pub enum ConnectError {
-        /// The other side did not take the connection.
+        /// The connection failed.
         Io(error: io::Error) {
             display("connect: {error}")
             source(error)
             from()
         }
-        /// The connection broke before a stream could be opened.
+        /// The HTTP/2 handshake failed.
         Handshake(error: h2::Error) {
             display("handshake: {error}")
             source(error)
             from()
         }
-        /// It took too long.
+        /// Connecting timed out.
         TimedOut {
             display("connect timed out")
         }
-        /// It failed a moment ago and is not tried again yet.
+        /// The last attempt failed and the backoff is not over.
         BackingOff {
-            display("connect failed a moment ago")
+            display("connect failed, backing off")
         }
-        /// This node has as many connections as it may.
+        /// This node has reached its maximum number of connections.
         TooMany {
             display("too many connections")
         }
     }
 }
 
-/// A connection that can take one more stream.
+/// A connection that can open one more stream.
 #[derive(Debug, Clone)]
 pub struct PeerSender {
     /// Opens the stream.
@@ -79,8 +79,8 @@
 }
 
 impl PeerSender {
-    /// Lets the connection be watched over until the result is dropped.
-    pub fn watch_over(&self) -> InFlight {
+    /// Has the connection monitored until the result is dropped.
+    pub fn monitor(&self) -> InFlight {
         InFlight::new(self.activity.clone())
     }
 }
@@ -88,7 +88,7 @@
 #[derive(Debug, Default)]
 struct Slot {
     sender: Option<PeerSender>,
-    /// Whether there ever was a connection, so that it can be lost.
+    /// Whether there ever was a connection, so that its loss is logged.
     was_connected: bool,
     failures: u32,
     retry_at_us: u64,
@@ -110,21 +110,21 @@
 }
 
 impl Pool {
-    /// An empty pool that counts in `meter` and connects over `link`.
+    /// Creates an empty pool that counts in `meter` and connects over `link`.
     pub fn new(clock: Clock, meter: Arc<Meter>, link: Arc<dyn Link>) -> Self {
         Self { clock, meter, link, entries: Mutex::default() }
     }
 
-    /// The counts.
+    /// Returns the counters.
     pub fn meter(&self) -> &Arc<Meter> {
         &self.meter
     }
 
-    /// A connection that can take one more stream.
+    /// Returns a connection that can open one more stream.
     ///
     /// # Errors
     ///
-    /// [`ConnectError`]; nothing was sent then.
+    /// [`ConnectError`]; nothing was sent.
     pub async fn sender(&self, address: SocketAddr) -> Result<PeerSender, ConnectError> {
         let entry = self.entry(address)?;
         let now_us = self.clock.now_us();
@@ -144,7 +144,7 @@
         match self.connect(address).await {
             Ok(sender) => {
                 if slot.was_connected && slot.failures > 0 {
-                    log::info!("node at {address}: regained after {} failed connects", slot.failures);
+                    log::info!("node at {address}: reachable again after {} failed connects", slot.failures);
                 }
                 slot.was_connected = true;
                 slot.failures = 0;
@@ -155,7 +155,7 @@
                 let pause_us = (BACKOFF_FIRST_US << slot.failures.min(10)).min(BACKOFF_MAX_US);
                 let pause_us = rand::rng().random_range(pause_us / 2..=pause_us);
                 if slot.was_connected && slot.failures == 0 {
-                    log::info!("node at {address}: lost: {error}");
+                    log::info!("node at {address}: unreachable: {error}");
                 }
                 slot.failures += 1;
                 slot.retry_at_us = self.clock.now_us() + pause_us;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Closes connections that were not used for [`IDLE_TIMEOUT`]; streams on them end first.
+    /// Closes connections that were unused for [`IDLE_TIMEOUT`]. Their streams may finish.
     pub fn close_idle(&self) {
         let idle_us = IDLE_TIMEOUT.as_micros() as u64;
         let now_us = self.clock.now_us();
@@ -173,17 +173,17 @@
         self.lock().retain(|_, entry| is_used(entry));
     }
 
-    /// Whether there is, or lately was, a connection to this node.
+    /// Whether the pool has an entry for this node.
     pub fn has(&self, address: SocketAddr) -> bool {
         self.lock().contains_key(&address)
     }
 
-    /// Nodes this one holds, or lately held, a connection to.
+    /// Number of nodes with an entry in the pool.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether there is none.
+    /// Whether the pool has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -216,15 +216,15 @@
             .await
             .map_err(|_| ConnectError::TimedOut)??;
         let pings = connection.ping_pong();
-        let watched = activity.clone();
+        let monitored = activity.clone();
         tokio::spawn(async move {
             tokio::select! {
                 ended = connection => {
                     if let Err(error) = ended {
-                        log::debug!("connection to {address} ended: {error}");
+                        log::debug!("connection to {address} failed: {error}");
                     }
                 }
-                () = watch_over(pings, watched) => log::info!("node at {address}: lost: it answers no ping"),
+                () = monitor(pings, monitored) => log::info!("node at {address}: unreachable: no answer to a ping"),
             }
         });
         let stream = sender.ready().await?;
@@ -236,23 +236,22 @@
     }
 }
 
-/// A connection on which attempts wait and nothing came for so long is pinged.
+/// Time without received data after which a connection with waiting requests is pinged.
 const SILENCE_MAX: Duration = Duration::from_millis(300);
-/// Longest wait for the answer to a ping; without one, the connection is given up.
+/// Time limit for the answer to a ping; the connection is closed if nothing arrives.
 const PONG_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Returns when the other side, with attempts waiting for it, answers no ping.
+/// Returns if the other node does not answer a ping while requests wait for it.
 ///
-/// A host that is cut off or paused is found out within 0.8 s instead of after whole time
-/// budgets; a connection that is idle or busy costs no ping. A link that is full of large answers holds up the answer to
-/// a ping behind them: as long as anything comes, the other side is there, and calls on the connection are not given up.
-async fn watch_over(pings: Option<PingPong>, activity: Arc<Activity>) {
+/// Detects a lost or paused host much sooner than the time budgets of calls do. Idle connections are not
+/// pinged. Large answers may delay the answer to a ping, so any received data counts as a sign of life.
+async fn monitor(pings: Option<PingPong>, activity: Arc<Activity>) {
     let Some(mut pings) = pings else { return std::future::pending().await };
     loop {
         let before = activity.received_bytes.load(Ordering::Relaxed);
         sleep(SILENCE_MAX).await;
-        let is_waited_for = activity.in_flight.load(Ordering::Relaxed) > 0;
-        if !is_waited_for || activity.received_bytes.load(Ordering::Relaxed) != before {
+        let has_waiting = activity.in_flight.load(Ordering::Relaxed) > 0;
+        if !has_waiting || activity.received_bytes.load(Ordering::Relaxed) != before {
             continue;
         }
         let mut pong = pin!(pings.ping(Ping::opaque()));
--- a/crates/laurelstall_peer/src/server.rs
+++ b/crates/laurelstall_peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering other nodes.
+//! Answers the requests of other nodes.
 
 use crate::{
     attempt::{Admission, Attempt, AttemptAnswer, AttemptBody, AttemptHandler, AttemptOutcome},
@@ -31,26 +31,26 @@
     time::{Duration, timeout},
 };
 
-/// Most connections that other nodes may hold here.
+/// Maximum number of connections from other nodes.
 pub const CONNECTIONS_MAX: usize = 1_200;
-/// Most streams at once on one of them.
+/// Maximum number of concurrent streams per connection.
 pub const STREAMS_MAX: u32 = 1_000;
-/// Longest time until a stream's head is complete.
+/// Time limit for receiving the head of a stream.
 pub const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a node does for others.
+/// Processes the requests of other nodes.
 pub trait PeerHandler: Send + Sync + fmt::Debug {
-    /// The guard that runs attempts.
+    /// Returns the guard that runs attempts.
     fn attempts(&self) -> &dyn AttemptHandler;
 
-    /// Whether this IP number is one of the fleet's.
+    /// Whether this IP address belongs to the fleet.
     fn is_member(&self, ip: IpAddr) -> bool;
 
-    /// Answers anything but an attempt.
+    /// Answers any request but an attempt.
     fn answer(&self, from: IpAddr, request: PeerRequest) -> BoxFuture<'_, PeerAnswer>;
 }
 
-/// The answering side of a node.
+/// Server for the requests of other nodes.
 #[derive(Debug)]
 pub struct PeerServer {
     handler: Arc<dyn PeerHandler>,
@@ -60,15 +60,15 @@
 }
 
 impl PeerServer {
-    /// A server that hands messages to `handler`.
+    /// Creates a server that passes requests to `handler`.
     pub fn new(handler: Arc<dyn PeerHandler>, meter: Arc<Meter>) -> Arc<Self> {
         let (stopping, _) = watch::channel(false);
         Arc::new(Self { handler, meter, connections: Arc::new(Semaphore::new(CONNECTIONS_MAX)), stopping })
     }
 
-    /// Takes connections until [`stop`](Self::stop) is called, and returns when the last has ended.
+    /// Accepts connections until [`stop`](Self::stop) is called, and returns when the last one has ended.
     ///
-    /// Dropping it breaks all connections, as a crash would.
+    /// Dropping the future closes all connections at once.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let mut stopping = self.stopping.subscribe();
         let mut serving = JoinSet::new();
@@ -79,7 +79,7 @@
                 _ = stopping.wait_for(|is_stopping| *is_stopping) => break,
             };
             let Ok((stream, from)) = accepted else {
-                // Out of descriptors, or a connection that was gone at once.
+                // Out of file descriptors, or the connection was aborted.
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
@@ -91,7 +91,7 @@
             serving.spawn(async move {
                 let _permit = permit;
                 if let Err(error) = this.serve_connection(stream, from).await {
-                    log::debug!("connection from {from} ended: {error}");
+                    log::debug!("connection from {from} failed: {error}");
                 }
             });
         }
@@ -99,13 +99,13 @@
         while serving.join_next().await.is_some() {}
     }
 
-    /// Takes no new connections or streams; those that run go on.
+    /// Stops accepting connections and streams; running streams continue.
     pub fn stop(&self) {
         self.stopping.send_replace(true);
     }
 
     async fn serve_connection(self: Arc<Self>, stream: TcpStream, from: SocketAddr) -> Result<(), h2::Error> {
-        // Without it, small answers wait for the other side's acknowledgement.
+        // Without this option, small answers wait for acknowledgements.
         let _ = stream.set_nodelay(true);
         let stream = MeteredStream::new(stream, self.meter.clone());
         let mut builder = server::Builder::new();
@@ -132,7 +132,7 @@
             let this = self.clone();
             streams.spawn(async move {
                 if let Err(error) = this.serve_stream(request, respond, from).await {
-                    log::debug!("stream from {from} ended: {error}");
+                    log::debug!("stream from {from} failed: {error}");
                 }
             });
         }
@@ -180,7 +180,7 @@
         let is_streamed = matches!(head.body, BodyKind::AfterAdmission | BodyKind::OnGo);
         let body = match read_body(head.body, reader).await {
             Ok(body) => body,
-            // The entry broke off before the body was whole: the target saw nothing.
+            // The body ended early, so the target has received nothing.
             Err(error) => return Err(error),
         };
         let (granted, admitted) = oneshot::channel();
@@ -194,7 +194,7 @@
         let answer = tokio::select! {
             answer = running => answer,
             reason = poll_fn(|cx| respond.poll_reset(cx)) => {
-                return Err(format!("cancelled by the entry: {reason:?}").into());
+                return Err(format!("cancelled by the entry node: {reason:?}").into());
             }
         };
         let mut stream = respond.send_response(Response::new(()), false)?;
@@ -220,7 +220,7 @@
             }
             answer = &mut running => return Ok(answer),
             reason = poll_fn(|cx| stream.poll_reset(cx)) => {
-                return Err(format!("cancelled by the entry: {reason:?}").into());
+                return Err(format!("cancelled by the entry node: {reason:?}").into());
             }
         }
     }
--- a/crates/laurelstall_peer/src/spread.rs
+++ b/crates/laurelstall_peer/src/spread.rs
@@ -1,15 +1,15 @@
-//! Keeping a node's configuration the newest there is.
+//! Replicates the configuration documents to every node.
 //!
-//! A few readers in each data centre watch the platform. Whoever takes a new document offers it
-//! to its partners at once, and they pull it; besides, each node compares versions with one
-//! partner at a steady pace, so whatever was missed is found. Nodes that hear nothing of any
-//! platform read for long read themselves, seldom and spread.
+//! A few reader nodes in each data centre watch the platform. A node that accepts a new version offers it
+//! to its partners, which pull it. As anti-entropy, each node also compares versions with one partner at a
+//! regular interval, which repairs missed offers. Nodes that learn of no platform read for a long time read
+//! the platform themselves, rarely and at random times.
 
 use crate::{
     client::{PeerClient, PeerError},
     crash_registry::CrashRegistry,
     message::{Exchange, PeerAnswer},
-    partners::{pick_far, pick_others, pick_partners},
+    partners::{pick_others, pick_partners, pick_remote},
     platform::PlatformSource,
     read_span::ReadSpan,
     spread_state::{PartnerState, SpreadCounts},
@@ -48,49 +48,49 @@
 
 use standby::ReaderRole;
 
-/// Who this node is.
+/// Identity and startup options of a node.
 #[derive(Debug, Clone)]
 pub struct SpreadOptions {
-    /// Its host's name.
+    /// Name of the node's host.
     pub host: String,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: String,
-    /// Where other nodes reach it.
+    /// Address on which other nodes reach this one.
     pub peer_address: SocketAddr,
-    /// Nodes to ask before a fleet list is known.
+    /// Nodes to contact while the list of hosts is unknown.
     pub seeds: Vec<SocketAddr>,
-    /// Seed of its random picks.
+    /// Seed of the random number generator that picks partners and pauses.
     pub seed: u64,
 }
 
 /// Where a document came from.
 #[derive(Debug, Clone, Copy)]
 struct Origin {
-    /// The node that gave it; none for the platform.
+    /// The node that sent it, or `None` for the platform.
     peer: Option<SocketAddr>,
-    /// Whether it is from a stale read of the platform, as others have made it.
+    /// Whether it came from a stale read of the platform; other nodes may hold newer versions.
     is_stale: bool,
     /// When a node read it from the platform, in µs of this node's clock.
     read_us: u64,
 }
 
-/// A version that was taken and not offered yet.
+/// A version that was accepted and not offered to other nodes yet.
 #[derive(Debug, Clone, Copy)]
 struct Change {
     version: Version,
-    /// Whether this node read it from the platform itself.
+    /// Whether this node read the version from the platform itself.
     is_read_here: bool,
 }
 
-/// What the configuration in force says about spreading.
+/// Gives access to the parts of the active configuration that replication depends on.
 pub trait SpreadView: Send + Sync + std::fmt::Debug {
-    /// The hosts.
+    /// Returns the list of hosts.
     fn fleet(&self) -> Arc<Fleet>;
-    /// The limits.
+    /// Returns the replication limits.
     fn spread(&self) -> SpreadLimits;
 }
 
-/// A node's part in the spreading of configuration.
+/// Replicates configuration between this node, the platform and other nodes.
 #[derive(Debug)]
 pub struct Spread {
     options: SpreadOptions,
@@ -100,41 +100,43 @@
     acceptor: Arc<dyn Acceptor>,
     view: Arc<dyn SpreadView>,
     store: Mutex<Store>,
-    /// The platform reads that this node heard of, its own and others'; none before the first.
-    reads: Mutex<Option<ReadSpan>>,
-    /// The documents held are at least as new as the platform's were then, in µs of this node's clock; 0 for never.
-    in_step_us: AtomicU64,
-    /// The latest era of the platform that was read here.
+    /// Platform reads known to this node, its own and those of others; `None` before the first.
+    known_reads: Mutex<Option<ReadSpan>>,
+    /// Time at which the platform held nothing newer than this node, in µs of this node's clock; 0 for
+    /// never.
+    up_to_date_us: AtomicU64,
+    /// Latest era of the platform that this node has read.
     platform_era: AtomicU64,
-    /// When the platform came back the last time, in µs of its clock, negative before its start; none if it never was away.
-    platform_return_us: Mutex<Option<i64>>,
-    /// Whether this node's last read failed.
+    /// When the last platform outage ended, in µs of this node's clock (negative before its start); `None`
+    /// if there was none.
+    outage_end_us: Mutex<Option<i64>>,
+    /// Whether this node's last read of the platform failed.
     is_read_failing: AtomicBool,
-    changed: Mutex<HashMap<DocumentName, Change>>,
-    /// When the versions held were read from the platform, by whichever node, in µs of this node's clock.
+    pending_offers: Mutex<HashMap<DocumentName, Change>>,
+    /// When the held versions were read from the platform by any node, in µs of this node's clock.
     read_us: Mutex<HashMap<DocumentName, u64>>,
-    /// Nodes whose hosts the list of hosts lacks since it changed last, which were not told so yet.
-    dropped: Mutex<HashSet<SocketAddr>>,
-    has_changed: Notify,
-    /// Nodes ahead of this one in the order of readers that cannot read.
-    unable_readers: Mutex<HashSet<SocketAddr>>,
+    /// Nodes that the last list of hosts removed and that were not offered that list yet.
+    removed_nodes: Mutex<HashSet<SocketAddr>>,
+    offer_notify: Notify,
+    /// Nodes before this one in the reader order that cannot read the platform.
+    failed_readers: Mutex<HashSet<SocketAddr>>,
     role_changed: Notify,
-    pulling: AsyncMutex<()>,
+    pull_lock: AsyncMutex<()>,
     is_joined: AtomicBool,
-    /// Whether it joined by a stale read of the platform.
+    /// Whether this node joined through a stale read of the platform.
     has_read_stale: AtomicBool,
     partner_seed: AtomicU64,
     rng: Mutex<SmallRng>,
     partner_states: Mutex<HashMap<SocketAddr, PartnerState>>,
-    /// What is known of requests that ended targets.
+    /// Requests that crashed targets.
     crashes: Arc<CrashRegistry>,
     seeds: Mutex<Vec<SocketAddr>>,
-    /// Counts.
+    /// Counters of this node's replication.
     pub counts: SpreadCounts,
 }
 
 impl Spread {
-    /// A node that holds nothing yet.
+    /// Creates a node that holds no documents.
     pub fn new(
         options: SpreadOptions,
         clock: Clock,
@@ -154,18 +156,18 @@
             acceptor,
             view,
             store: Mutex::default(),
-            reads: Mutex::default(),
-            in_step_us: AtomicU64::new(0),
+            known_reads: Mutex::default(),
+            up_to_date_us: AtomicU64::new(0),
             platform_era: AtomicU64::new(0),
-            platform_return_us: Mutex::default(),
+            outage_end_us: Mutex::default(),
             is_read_failing: AtomicBool::new(false),
-            changed: Mutex::default(),
+            pending_offers: Mutex::default(),
             read_us: Mutex::default(),
-            dropped: Mutex::default(),
-            has_changed: Notify::new(),
-            unable_readers: Mutex::default(),
+            removed_nodes: Mutex::default(),
+            offer_notify: Notify::new(),
+            failed_readers: Mutex::default(),
             role_changed: Notify::new(),
-            pulling: AsyncMutex::new(()),
+            pull_lock: AsyncMutex::new(()),
             is_joined: AtomicBool::new(false),
             has_read_stale: AtomicBool::new(false),
             partner_seed,
@@ -177,37 +179,37 @@
         })
     }
 
-    /// Replaces the nodes to ask when no other is known.
+    /// Replaces the nodes to contact while no other node is known.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.lock().unwrap_or_else(PoisonError::into_inner) = seeds;
     }
 
-    /// The documents held.
+    /// Locks and returns the store of held documents.
     pub fn store(&self) -> MutexGuard<'_, Store> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is known of requests that ended targets.
+    /// Returns the registry of requests that crashed targets.
     pub fn crashes(&self) -> &Arc<CrashRegistry> {
         &self.crashes
     }
 
-    /// Whether this node watches the platform now.
+    /// Whether this node watches the platform at present.
     pub fn is_reader(&self) -> bool {
         self.reader_role() != ReaderRole::None
     }
 
-    /// Answers a node that stands by to read the platform.
+    /// Answers a standby reader that checks whether this node can read the platform.
     pub fn answer_can_read(&self) -> PeerAnswer {
         PeerAnswer::CanRead(self.can_read())
     }
 
-    /// Whether this node asked around before it served.
+    /// Whether the initial [`join`](Self::join) is over.
     pub fn is_joined(&self) -> bool {
         self.is_joined.load(Ordering::Relaxed)
     }
 
-    /// How each partner stood at the last exchange.
+    /// Returns the result of the last exchange with each partner.
     pub fn partner_states(&self) -> Vec<(SocketAddr, PartnerState)> {
         let states = self.partner_states.lock().unwrap_or_else(PoisonError::into_inner);
         states.iter().map(|(address, state)| (*address, *state)).collect()
@@ -220,7 +222,7 @@
         addresses.into_iter().map(|address| self.exchange_with(address)).collect()
     }
 
-    /// Reads, offers and exchanges until it is dropped.
+    /// Reads the platform and replicates documents; runs until the future is dropped.
     pub async fn run(self: Arc<Self>) {
         tokio::join!(
             self.read_loop(),
@@ -232,9 +234,9 @@
         );
     }
 
-    /// Answers a node that compares versions.
+    /// Answers a node that compares its versions with ours.
     pub fn answer_exchange(&self, theirs: &Exchange) -> PeerAnswer {
-        self.note_news(theirs);
+        self.merge_status(theirs);
         let ours = self.exchange();
         if ours.versions_hash == theirs.versions_hash {
             return PeerAnswer::Same(ours);
@@ -243,20 +245,20 @@
         PeerAnswer::Versions(ours, versions)
     }
 
-    /// Notes what another node has, and pulls what is newer.
+    /// Records another node's platform status and pulls the versions that are newer there.
     ///
-    /// The address must be that of the connection, or listed as a node's, since a host with several addresses may connect
-    /// from any of them: nobody can send a node after a stranger. Hosts whose offers were passed over for that told of a
-    /// version only by exchanges, in 0.3 to 3 s (8 nodes) where an offer takes some ms.
+    /// An offer is ignored unless its address has the IP of the connection or belongs to a listed node, so
+    /// that a stranger cannot direct nodes to arbitrary addresses. A host with several addresses may
+    /// connect from any of them.
     pub fn note_offer(
         self: &Arc<Self>,
         from: IpAddr,
         address: SocketAddr,
-        news: &Exchange,
+        status: &Exchange,
         theirs: Vec<(DocumentName, Version)>,
     ) {
-        // Before the documents: how they are taken depends on it.
-        self.note_news(news);
+        // Must precede the documents, since accepting them depends on it.
+        self.merge_status(status);
         let is_known = address.ip() == from || self.view.fleet().is_node(address);
         if !is_known || self.store().behind(&theirs).is_empty() {
             return;
@@ -264,17 +266,18 @@
         let this = self.clone();
         tokio::spawn(async move {
             if let Err(error) = this.pull(address, &theirs).await {
-                log::debug!("pull from {address}: {error}");
+                log::debug!("pull from {address} failed: {error}");
             }
         });
     }
 
-    /// Offers a document that was just read to the store and, if it is taken, to the partners.
+    /// Applies a document that was read from the platform and, if it is accepted, offers it to the
+    /// partners.
     pub fn take(&self, document: Document) -> bool {
-        self.take_from(document, Origin { peer: None, is_stale: false, read_us: self.clock.now_us() })
+        self.apply_from(document, Origin { peer: None, is_stale: false, read_us: self.clock.now_us() })
     }
 
-    fn take_from(&self, document: Document, origin: Origin) -> bool {
+    fn apply_from(&self, document: Document, origin: Origin) -> bool {
         let name = document.name.clone();
         let version = document.version;
         let held = self.store().version(&name);
@@ -287,25 +290,30 @@
                 if !origin.is_stale {
                     let change = Change { version, is_read_here: origin.peer.is_none() };
                     if name == DocumentName::Fleet {
-                        self.note_dropped(&fleet_before, change.is_read_here);
+                        self.note_removed_nodes(&fleet_before, change.is_read_here);
                     }
-                    self.changed.lock().unwrap_or_else(PoisonError::into_inner).insert(name, change);
-                    self.has_changed.notify_one();
+                    self.pending_offers.lock().unwrap_or_else(PoisonError::into_inner).insert(name, change);
+                    self.offer_notify.notify_one();
                 }
                 return true;
             }
             Offer::Refused(error) => {
                 self.counts.refused.fetch_add(1, Ordering::Relaxed);
-                log::error!("{name} version {version} refused, the last good one stays: {error}");
+                log::error!("{name} version {version} is rejected, the active version stays: {error}");
             }
-            Offer::Conflict => log::error!("{name} version {version} came with another text; ours stays"),
-            Offer::TooLarge => log::error!("{name} version {version} is too large"),
+            Offer::Conflict => log::error!(
+                "{name} version {version} differs from the held text of this version; it is ignored"
+            ),
+            Offer::TooLarge => log::error!(
+                "{name} version {version} is rejected: the document is too large, or there are too many documents"
+            ),
             Offer::NotNewer => {}
         }
         false
     }
 
-    /// Writes down by whom and how late a version came, and keeps when it was read for those that pull it here.
+    /// Logs the source and delay of a new version, and records when it was read for the nodes that pull it
+    /// from here.
     fn note_origin(&self, name: &DocumentName, version: Version, held: Version, origin: Origin) {
         let delay_us = self.clock.now_us().saturating_sub(origin.read_us);
         self.acceptor.note_delay(delay_us);
@@ -313,11 +321,11 @@
         let from = origin.peer.map_or("the platform".to_owned(), |peer| peer.to_string());
         let delay_ms = delay_us / 1_000;
         log::info!(
-            "{name} version {version} is in force, after {held}, from {from}, {delay_ms} ms after it was read"
+            "{name}: version {version} replaces {held}; received from {from} {delay_ms} ms after it was read from the platform"
         );
     }
 
-    /// Since the version held was read from the platform, by whichever node, in µs.
+    /// Time since the held version was read from the platform by any node, in µs.
     fn read_age_us(&self, name: &DocumentName) -> u64 {
         let read_us = self.read_us.lock().unwrap_or_else(PoisonError::into_inner).get(name).copied();
         read_us.map_or(0, |read_us| self.clock.now_us().saturating_sub(read_us))
@@ -327,7 +335,7 @@
         self.rng.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Half to one and a half of a pause, so that nodes do not act in step.
+    /// Returns 50 to 150 % of a pause at random, so that nodes do not act in lockstep.
     fn jittered(&self, pause_ms: u64) -> Duration {
         let pause_us = pause_ms * 1_000;
         Duration::from_micros(self.rng().random_range(pause_us / 2..=pause_us + pause_us / 2))
@@ -349,35 +357,35 @@
         !self.store().versions().is_empty()
     }
 
-    /// The seeds but for this node.
+    /// The seeds without this node.
     fn other_seeds(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.lock().unwrap_or_else(PoisonError::into_inner);
         seeds.iter().copied().filter(|address| *address != self.options.peer_address).collect()
     }
 
-    /// Some nodes that are no partners, at random, to take the place of partners that do not answer.
+    /// Random nodes that are not partners, to contact in place of partners that do not answer.
     fn substitutes(&self, partners: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
         let fleet = self.view.fleet();
         pick_others(&fleet, &self.options.host, partners, count, &mut self.rng())
     }
 
-    /// Some nodes of other data centres at random.
-    fn far_nodes(&self, count: usize) -> Vec<SocketAddr> {
+    /// Random nodes of other data centres.
+    fn remote_nodes(&self, count: usize) -> Vec<SocketAddr> {
         let fleet = self.view.fleet();
-        pick_far(&fleet, &self.options.data_centre, count, &mut self.rng())
+        pick_remote(&fleet, &self.options.data_centre, count, &mut self.rng())
     }
 
     fn partners(&self) -> Vec<SocketAddr> {
         self.partners_where(&self.view.fleet(), |_| true)
     }
 
-    /// The partners in the own data centre.
-    fn near_partners(&self) -> Vec<SocketAddr> {
-        self.near_partners_in(&self.view.fleet())
+    /// Partners in this node's data centre.
+    fn local_partners(&self) -> Vec<SocketAddr> {
+        self.local_partners_in(&self.view.fleet())
     }
 
-    /// The partners in the own data centre by some list of hosts.
-    fn near_partners_in(&self, fleet: &Fleet) -> Vec<SocketAddr> {
+    /// Partners in this node's data centre according to the given list of hosts.
+    fn local_partners_in(&self, fleet: &Fleet) -> Vec<SocketAddr> {
         self.partners_where(fleet, |host| host.data_centre == self.options.data_centre)
     }
 
--- a/crates/laurelstall_peer/src/spread/carrying.rs
+++ b/crates/laurelstall_peer/src/spread/carrying.rs
@@ -1,7 +1,8 @@
-//! Telling other nodes what is carried over a return of the platform from an older copy.
+//! Exchanges the corrections that apply after the platform was restored from an older copy.
 //!
-//! Nodes that were there before the return carry nearly the same: each has it from the lists that it took. Exchanges
-//! compare a hash of it, so a node that starts after the return, or that was cut off before it, gets the rest.
+//! Nodes that ran before the restore derive nearly the same corrections from the lists of hosts that they
+//! received. Exchanges compare a hash of them, so that a node that starts later, or was partitioned,
+//! receives what it lacks.
 
 use super::Spread;
 use crate::{
@@ -12,7 +13,7 @@
 use std::net::SocketAddr;
 
 impl Spread {
-    /// Answers a node that told what it carries with what is carried here.
+    /// Merges another node's corrections and answers with this node's.
     pub fn answer_carried(&self, theirs: Option<&CarriedNews>) -> PeerAnswer {
         if let Some(theirs) = theirs {
             self.acceptor.take_carried(theirs);
@@ -20,8 +21,8 @@
         PeerAnswer::Carried(self.acceptor.carried())
     }
 
-    /// Compares what both carry, if `their_hash` says that it differs.
-    pub(super) async fn exchange_carried(
+    /// Exchanges corrections with a node unless `their_hash` shows that both have the same.
+    pub(super) async fn exchange_corrections(
         &self,
         address: SocketAddr,
         their_hash: u64,
--- a/crates/laurelstall_peer/src/spread/crash_news.rs
+++ b/crates/laurelstall_peer/src/spread/crash_news.rs
@@ -1,7 +1,7 @@
-//! Telling other nodes of requests that ended targets.
+//! Distributes reports on requests that crashed targets.
 //!
-//! Each node tells its partners what is news to it, so an end is known everywhere after a few steps; whatever that
-//! misses is found by the exchanges, which compare a hash of what is known.
+//! Each node forwards what is new to it to its partners, so that a crash is known everywhere after a few
+//! hops. The exchanges compare a hash of the known reports and repair what was missed.
 
 use super::Spread;
 use crate::{
@@ -16,36 +16,38 @@
     time::{Duration, timeout},
 };
 
-/// How long a partner is waited for until another node is told in its place.
-const TELL_PATIENCE: Duration = Duration::from_millis(300);
-/// Nodes of other data centres that are told besides the partners: with one far partner alone, news that begins in a
-/// small data centre may find all its far partners lost.
-const FAR_TOLD: usize = 2;
+/// Time to wait for a partner before a substitute is contacted.
+const SEND_TIMEOUT: Duration = Duration::from_millis(300);
+/// Nodes of other data centres that are contacted in addition to the partners. A small data centre may have
+/// lost all of its remote partners.
+const REMOTE_RECIPIENTS: usize = 2;
 
 impl Spread {
-    /// Tells partners of each end as soon as this node knows of it. No telling waits for an earlier one.
+    /// Sends each crash report to the partners as soon as this node has it. Rounds run concurrently.
     pub(super) async fn crash_news_loop(self: &Arc<Self>) {
         let mut rounds = JoinSet::new();
         loop {
-            let news = self.crashes.untold_news().await;
+            let reports = self.crashes.unsent_reports().await;
             while rounds.try_join_next().is_some() {}
             let this = self.clone();
-            rounds.spawn(async move { this.tell_crashes(news).await });
+            rounds.spawn(async move { this.send_crash_reports(reports).await });
         }
     }
 
-    /// Answers a node that told what it knows with what is known here besides.
+    /// Merges another node's crash reports and answers with those that it lacks.
     pub fn answer_crashes(&self, theirs: &[CrashNews]) -> PeerAnswer {
         self.crashes.take_news(theirs);
-        let is_told = |news: &CrashNews| {
-            theirs.iter().any(|told| told.digest == news.digest && told.ends.len() >= news.ends.len())
+        let is_known = |report: &CrashNews| {
+            theirs.iter().any(|known| known.digest == report.digest && known.ends.len() >= report.ends.len())
         };
         let mut ours = self.crashes.all_news();
-        ours.retain(|news| !is_told(news) || news.good_run_age_ms.is_some() || news.release_age_ms.is_some());
+        ours.retain(|report| {
+            !is_known(report) || report.good_run_age_ms.is_some() || report.release_age_ms.is_some()
+        });
         PeerAnswer::Crashes(ours)
     }
 
-    /// Compares what both know of requests that ended targets, if `their_hash` says that it differs.
+    /// Exchanges crash reports with a node unless `their_hash` shows that both have the same.
     pub(super) async fn exchange_crashes(
         &self,
         address: SocketAddr,
@@ -62,23 +64,23 @@
         Ok(())
     }
 
-    async fn tell_crashes(&self, news: Vec<CrashNews>) {
+    async fn send_crash_reports(&self, reports: Vec<CrashNews>) {
         let mut partners = self.partners();
-        partners.extend(self.far_nodes(FAR_TOLD));
+        partners.extend(self.remote_nodes(REMOTE_RECIPIENTS));
         let mut substitutes = self.substitutes(&partners, partners.len()).into_iter();
-        let request = PeerRequest::CrashNews(news);
-        let tell = |address| self.is_told_of_crashes(address, &request);
-        let mut telling = partners.into_iter().map(tell).collect::<FuturesUnordered<_>>();
-        while let Some(is_told) = telling.next().await {
-            if !is_told {
-                telling.extend(substitutes.next().map(tell));
+        let request = PeerRequest::CrashNews(reports);
+        let send = |address| self.try_send_crash_reports(address, &request);
+        let mut sending = partners.into_iter().map(send).collect::<FuturesUnordered<_>>();
+        while let Some(is_sent) = sending.next().await {
+            if !is_sent {
+                sending.extend(substitutes.next().map(send));
             }
         }
     }
 
-    /// Tells one node; whether it answered soon.
-    async fn is_told_of_crashes(&self, address: SocketAddr, request: &PeerRequest) -> bool {
-        let told = timeout(TELL_PATIENCE, self.client.ask(address, request)).await;
-        matches!(told, Ok(Ok(PeerAnswer::Noted)))
+    /// Sends the request to one node and returns whether it answered in time.
+    async fn try_send_crash_reports(&self, address: SocketAddr, request: &PeerRequest) -> bool {
+        let answered = timeout(SEND_TIMEOUT, self.client.ask(address, request)).await;
+        matches!(answered, Ok(Ok(PeerAnswer::Noted)))
     }
 }
--- a/crates/laurelstall_peer/src/spread/exchanging.rs
+++ b/crates/laurelstall_peer/src/spread/exchanging.rs
@@ -1,10 +1,10 @@
-//! Comparing versions with one node after the other, so that what was missed is found.
+//! Anti-entropy: compares versions with one node after the other to repair missed offers.
 
 use super::Spread;
 use crate::{
     client::{CONTROL_TIMEOUT, PeerError},
     message::{PeerAnswer, PeerRequest},
-    partner_pauses::PartnerPauses,
+    partner_pauses::PartnerBackoff,
     spread_state::PartnerState,
 };
 use futures_util::stream::StreamExt;
@@ -14,42 +14,40 @@
 };
 use tokio::time::{Duration, sleep, timeout};
 
-/// Partners whose last exchange is remembered.
+/// Maximum number of partners whose last exchange is remembered.
 const PARTNER_STATES_MAX: usize = 64;
-/// Exchanges of a node whose host is not listed in the time of one of a listed node: with four, a version is there well
-/// within the second in which it is to be in force, at about 1 KB/s.
+/// Factor by which a node whose host is not listed exchanges more often, at a cost of about 1 KB/s.
 const UNLISTED_EXCHANGES: u64 = 4;
-/// How long a partner is waited for until the next one is asked in the same turn.
-const EXCHANGE_PATIENCE: Duration = Duration::from_millis(300);
-/// Nodes that are asked in one turn when no partner answers.
+/// Time to wait for a partner before the next one is contacted in the same round.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of nodes that are contacted in a round in which no partner answers.
 const SUBSTITUTES_MAX: usize = 3;
 
 impl Spread {
-    /// Compares versions with one node in each turn: with the next partner, or the first one after it that
-    /// answers. A turn does not end with a partner that is lost, so news that one has is with all after a few
-    /// turns whoever is lost.
+    /// Exchanges versions with one node per round: the next partner, or the first after it that answers.
+    /// Lost partners do not use up a round, so that an update reaches all nodes after a few rounds.
     pub(super) async fn exchange_loop(&self) {
         let mut next = 0;
-        let mut pauses = PartnerPauses::default();
+        let mut backoff = PartnerBackoff::default();
         loop {
             sleep(self.jittered(self.exchange_interval_ms())).await;
             let partners = self.partners();
             if partners.is_empty() {
-                // A seed that is gone is one of several ways to the news.
+                // Seeds may be gone: a failed exchange is tried again in the next round.
                 self.exchange_with_each(self.other_seeds()).count().await;
                 continue;
             }
-            pauses.keep_only(&partners);
-            if !self.exchange_with_partner(&partners, &mut next, &mut pauses).await {
+            backoff.retain(&partners);
+            if !self.exchange_with_partner(&partners, &mut next, &mut backoff).await {
                 self.exchange_with_substitute(&partners).await;
             }
         }
     }
 
-    /// The mean pause between two exchanges, in ms.
+    /// Mean pause between two exchanges, in ms.
     ///
-    /// A node whose host the list lacks is nobody's partner: what it does not ask for it does not hear, and it goes on
-    /// taking calls.
+    /// A node whose host is not listed takes calls but is nobody's partner, so it receives only what it
+    /// requests.
     fn exchange_interval_ms(&self) -> u64 {
         let interval_ms = self.view.spread().exchange_interval_ms;
         let fleet = self.view.fleet();
@@ -57,25 +55,25 @@
         if is_unlisted { interval_ms / UNLISTED_EXCHANGES } else { interval_ms }
     }
 
-    /// Asks partners in turn until one answers; whether one did.
+    /// Contacts partners in turn and returns whether one answered.
     async fn exchange_with_partner(
         &self,
         partners: &[SocketAddr],
         next: &mut usize,
-        pauses: &mut PartnerPauses,
+        backoff: &mut PartnerBackoff,
     ) -> bool {
         for _ in partners {
             let address = partners[*next % partners.len()];
             *next += 1;
-            if !pauses.take_turn(address) {
+            if !backoff.is_due(address) {
                 continue;
             }
-            if self.is_exchanged(address).await {
-                pauses.note_reached(address);
+            if self.try_exchange(address).await {
+                backoff.note_success(address);
                 return true;
             }
-            if pauses.note_failed(address) {
-                // It has been away for long: other partners are picked.
+            if backoff.note_failure(address) {
+                // The partner has been unreachable for long: pick other partners.
                 self.partner_seed.fetch_add(1, Ordering::Relaxed);
             }
         }
@@ -84,16 +82,16 @@
 
     async fn exchange_with_substitute(&self, partners: &[SocketAddr]) {
         for address in self.substitutes(partners, SUBSTITUTES_MAX) {
-            if self.is_exchanged(address).await {
+            if self.try_exchange(address).await {
                 return;
             }
         }
     }
 
-    /// Compares versions with one node; whether it answered soon.
-    async fn is_exchanged(&self, address: SocketAddr) -> bool {
+    /// Exchanges versions with one node and returns whether it answered in time.
+    async fn try_exchange(&self, address: SocketAddr) -> bool {
         self.counts.exchanges.fetch_add(1, Ordering::Relaxed);
-        let is_done = self.exchange_within(address, EXCHANGE_PATIENCE).await.is_ok();
+        let is_done = self.exchange_within(address, EXCHANGE_TIMEOUT).await.is_ok();
         if !is_done {
             self.counts.exchanges_failed.fetch_add(1, Ordering::Relaxed);
         }
@@ -104,32 +102,32 @@
         self.exchange_within(address, CONTROL_TIMEOUT).await
     }
 
-    /// Compares versions with a node that answers within `patience`, and pulls what is newer there, however long
-    /// that takes.
-    async fn exchange_within(&self, address: SocketAddr, patience: Duration) -> Result<(), PeerError> {
+    /// Exchanges versions with a node that answers within `time_limit`, and pulls what is newer there. The
+    /// pull has no such limit.
+    async fn exchange_within(&self, address: SocketAddr, time_limit: Duration) -> Result<(), PeerError> {
         let request = PeerRequest::Exchange(self.exchange());
-        let asked_us = self.clock.now_us();
-        let answered = timeout(patience, self.client.ask(address, &request)).await;
+        let requested_us = self.clock.now_us();
+        let answered = timeout(time_limit, self.client.ask(address, &request)).await;
         let answer = answered.unwrap_or(Err(PeerError::TimedOut));
-        self.note_partner(address, answer.as_ref().ok());
+        self.record_partner_state(address, answer.as_ref().ok());
         match answer? {
             PeerAnswer::Same(theirs) => {
-                self.note_news(&theirs);
-                self.note_in_step_with(&theirs, asked_us);
-                self.exchange_carried(address, theirs.carried_hash).await?;
+                self.merge_status(&theirs);
+                self.note_up_to_date_with(&theirs, requested_us);
+                self.exchange_corrections(address, theirs.carried_hash).await?;
                 self.exchange_crashes(address, theirs.crashes_hash).await
             }
             PeerAnswer::Versions(theirs, versions) => {
-                self.note_news(&theirs);
+                self.merge_status(&theirs);
                 let ahead = self.store().ahead(&versions);
                 if !ahead.is_empty() {
                     self.send_offer(address, ahead).await;
                 }
                 self.exchange_crashes(address, theirs.crashes_hash).await?;
                 self.pull(address, &versions).await?;
-                self.exchange_carried(address, theirs.carried_hash).await?;
+                self.exchange_corrections(address, theirs.carried_hash).await?;
                 if self.store().behind(&versions).is_empty() {
-                    self.note_in_step_with(&theirs, asked_us);
+                    self.note_up_to_date_with(&theirs, requested_us);
                 }
                 Ok(())
             }
@@ -137,7 +135,7 @@
         }
     }
 
-    fn note_partner(&self, address: SocketAddr, answer: Option<&PeerAnswer>) {
+    fn record_partner_state(&self, address: SocketAddr, answer: Option<&PeerAnswer>) {
         let state = PartnerState {
             is_in_step: matches!(answer, Some(PeerAnswer::Same(_))),
             is_reached: answer.is_some(),
--- a/crates/laurelstall_peer/src/spread/joining.rs
+++ b/crates/laurelstall_peer/src/spread/joining.rs
@@ -1,4 +1,4 @@
-//! What a node does before it serves: it asks platform and peers for the newest there is.
+//! Fetches the newest configuration from the platform and peers before a node serves calls.
 
 use super::Spread;
 use futures_util::{
@@ -11,76 +11,74 @@
 };
 use tokio::time::{Duration, sleep, timeout};
 
-/// How long a joining node waits for peers and platform before it takes what it has.
+/// Maximum time that a joining node waits for peers and the platform.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a joining node waits for its seeds before it reads the platform besides: longer than a seed on a tenth of
-/// a core needs for a connection and an exchange. While a whole fleet starts, its seeds listen, know nothing and are busy
-/// with all the others, so each ms of it is one in which no caller is served.
-const SEEDS_PATIENCE: Duration = Duration::from_millis(60);
-/// Age of a read of the platform up to which the peers that heard of it have the newest there is.
+/// Time that a joining node waits for its seeds before it also reads the platform. While a whole fleet
+/// starts, the seeds have no documents, and a longer wait would only delay the start.
+const SEEDS_TIMEOUT: Duration = Duration::from_millis(60);
+/// Peers that know of a platform read of up to this age count as up to date.
 const FRESH_READ_AGE_MS: u64 = 4_000;
-/// How much longer a joining node that has documents from peers waits for the platform.
-const PLATFORM_PATIENCE: Duration = Duration::from_millis(300);
-/// How long a joining node waits for its peers when a seed has brought documents.
-const PEERS_PATIENCE: Duration = Duration::from_millis(300);
-/// How long a joining node that has made a stale read waits for the first peer to say what is newest.
-const NEWEST_PATIENCE: Duration = Duration::from_millis(100);
-/// How long, on average, a node waits to hear from others that what a stale read told is the newest, in ms: exchanges
-/// and offers bring that within a second, and a version is to be in force within a few.
+/// Additional time that a joining node with documents from peers waits for the platform.
+const PLATFORM_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time that a joining node waits for its peers once a seed has sent documents.
+const PEERS_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time that a joining node waits for the first peer to confirm a stale read.
+const NEWEST_TIMEOUT: Duration = Duration::from_millis(100);
+/// Mean pause before a node checks whether its stale read was confirmed by other nodes, in ms.
 const CONFIRMATION_PAUSE_MS: u64 = 1_500;
-/// Times that such a node reads the platform itself at most.
+/// Maximum number of platform reads that confirm a stale read.
 const CONFIRMATIONS_MAX: usize = 5;
-/// Peers that a joining node asks.
+/// Number of peers that a joining node contacts.
 const JOIN_PEERS: usize = 5;
 
 impl Spread {
-    /// Whether this node reads the platform while nobody knows the fleet: if others ask it, or if it
-    /// has nobody to ask.
-    pub(super) fn reads_first(&self) -> bool {
+    /// Whether this node reads the platform while the list of hosts is unknown: it is a seed, or it has no
+    /// seeds.
+    pub(super) fn is_bootstrap_reader(&self) -> bool {
         let seeds = self.seeds.lock().unwrap_or_else(PoisonError::into_inner);
         seeds.is_empty() || seeds.contains(&self.options.peer_address)
     }
 
-    /// Asks platform and peers for what they have and takes the newest of each document.
+    /// Fetches the newest version of each document from the platform and from peers.
     ///
-    /// The platform's word is the newest there is, unless it came back from an older copy: then peers are asked besides.
-    /// That of peers does as well while some node reads
-    /// the platform, and costs no call there; without the platform it has to do. While the whole fleet
-    /// starts, seeds know nothing yet and only they and the readers read the newest; the others make a
-    /// stale read, a tenth of the cost, and hear of the newest from these within a second. Returns when one
-    /// of them gave it, or [`JOIN_TIMEOUT`] is over; a node without any document goes on asking in
-    /// [`run`](Self::run).
+    /// A successful read of the platform suffices, unless the platform was restored from an older copy:
+    /// then peers are asked as well. Peers suffice if some node has read the platform lately, which spares
+    /// the platform a call. While the whole fleet starts, seeds have no documents yet: seeds and readers
+    /// make a full read, all others a cheaper stale read, and receive newer versions from these afterwards.
+    ///
+    /// Returns when one source has answered, or after [`JOIN_TIMEOUT`]; a node without documents keeps
+    /// trying in [`run`](Self::run).
     pub async fn join(&self) {
-        // A part that did not answer in time is caught up with by the exchanges.
-        let _ = timeout(JOIN_TIMEOUT, self.ask_platform_and_peers()).await;
+        // The exchanges repair what did not arrive in time.
+        let _ = timeout(JOIN_TIMEOUT, self.query_platform_and_peers()).await;
         self.is_joined.store(true, Ordering::Relaxed);
         let hosts = self.view.fleet().hosts.len();
-        log::info!("joined: {hosts} hosts known, {} ms after the start", self.clock.elapsed_ms());
+        log::info!("joined with {hosts} known hosts {} ms after the start", self.clock.elapsed_ms());
     }
 
-    async fn ask_platform_and_peers(&self) {
-        let mut peers = self.ask_seeds_and_peers().boxed();
-        if !self.reads_first() {
-            let answered = timeout(SEEDS_PATIENCE, peers.as_mut()).await;
+    async fn query_platform_and_peers(&self) {
+        let mut peers = self.query_seeds_and_peers().boxed();
+        if !self.is_bootstrap_reader() {
+            let answered = timeout(SEEDS_TIMEOUT, peers.as_mut()).await;
             if self.has_documents() && self.platform_read_age_ms() < FRESH_READ_AGE_MS {
                 return;
             }
             match self.read_platform_stale().await {
                 Ok(true) => {
-                    // What it was about to pull would hold up others.
+                    // A pull that it has begun would block others.
                     drop(peers);
-                    if self.may_have_lost() {
-                        self.ask_some_peers().await;
+                    if self.may_lack_updates() {
+                        self.query_some_peers().await;
                     } else {
-                        let _ = timeout(NEWEST_PATIENCE, self.ask_peers_for_newest()).await;
+                        let _ = timeout(NEWEST_TIMEOUT, self.query_peers_for_newest()).await;
                     }
                     return;
                 }
-                // The platform knows no stale reads.
+                // The platform does not support stale reads.
                 Ok(false) if answered.is_ok() => {
-                    // A failure is caught up with by the exchanges.
+                    // The exchanges repair a failed read.
                     let _ = self.read_platform(None).await;
-                    self.ask_peers_what_was_lost().await;
+                    self.recover_lost_updates().await;
                     return;
                 }
                 Ok(false) => {}
@@ -96,45 +94,45 @@
         let platform = pin!(self.read_platform(None));
         match select(platform, peers).await {
             Either::Left((Ok(_), peers)) => {
-                // What it was about to pull would hold up others.
+                // A pull that it has begun would block others.
                 drop(peers);
-                self.ask_peers_what_was_lost().await;
+                self.recover_lost_updates().await;
             }
             Either::Left((Err(_), peers)) => peers.await,
             Either::Right(((), platform)) if self.has_documents() => {
-                let _ = timeout(PLATFORM_PATIENCE, platform).await;
+                let _ = timeout(PLATFORM_TIMEOUT, platform).await;
             }
             Either::Right(((), platform)) => {
-                // A failure is caught up with by the exchanges.
+                // The exchanges repair a failed read.
                 let _ = platform.await;
-                self.ask_peers_what_was_lost().await;
+                self.recover_lost_updates().await;
             }
         }
     }
 
-    /// Whether the platform may lack what it had acknowledged: it came back from an older copy, and this node has held
-    /// nothing that tells when.
-    fn may_have_lost(&self) -> bool {
+    /// Whether the platform may lack updates that it had acknowledged, because it was restored from an
+    /// older copy.
+    fn may_lack_updates(&self) -> bool {
         self.platform_era() > 0
     }
 
-    /// Asks some peers for what the platform may have lost: the newest that it shows may be older than what they hold.
+    /// Asks some peers for updates that the platform may have lost in a restore.
     ///
-    /// All of them, since one that has just started itself knows no more; whoever says nothing is caught up with by the
-    /// exchanges.
-    async fn ask_peers_what_was_lost(&self) {
-        if self.may_have_lost() {
-            self.ask_some_peers().await;
+    /// Waits for all of them, since a peer that has just started may know no more than this node. The
+    /// exchanges repair what does not arrive in time.
+    async fn recover_lost_updates(&self) {
+        if self.may_lack_updates() {
+            self.query_some_peers().await;
         }
     }
 
-    async fn ask_some_peers(&self) {
+    async fn query_some_peers(&self) {
         let peers = self.exchange_with_each(self.partners().into_iter().take(JOIN_PEERS));
-        let _ = timeout(PEERS_PATIENCE, peers.count()).await;
+        let _ = timeout(PEERS_TIMEOUT, peers.count()).await;
     }
 
-    /// Reads the platform once more, and plainly, when this node joined by a stale read and has heard from nobody since
-    /// who has read it lately: its way to other nodes may be cut.
+    /// Makes a full read of the platform if this node joined through a stale read and no other node has
+    /// reported a recent read since. The connections to other nodes may be cut.
     pub(super) async fn confirm_stale_read(&self) {
         if !self.has_read_stale.load(Ordering::Relaxed) {
             return;
@@ -145,19 +143,19 @@
                 return;
             }
             if let Err(error) = self.read_platform(None).await {
-                log::debug!("platform: a stale read is not confirmed yet: {error}");
+                log::debug!("platform: reading to confirm a stale read failed: {error}");
             }
         }
     }
 
-    /// Asks some peers for what is newest, after a time in which nothing could be heard.
+    /// Fetches the newest versions from some peers, for example after this node was paused.
     pub async fn catch_up(&self) {
-        // What none of them brings in time is found by the exchanges.
-        let _ = timeout(PEERS_PATIENCE, self.ask_peers_for_newest()).await;
+        // The exchanges repair what did not arrive in time.
+        let _ = timeout(PEERS_TIMEOUT, self.query_peers_for_newest()).await;
     }
 
-    /// Asks some peers until one has brought what is newest, as far as somebody has read the platform lately.
-    async fn ask_peers_for_newest(&self) {
+    /// Exchanges with some peers until this node knows of a recent platform read.
+    async fn query_peers_for_newest(&self) {
         let mut peers = self.exchange_with_each(self.partners().into_iter().take(JOIN_PEERS));
         while peers.next().await.is_some() {
             if self.platform_read_age_ms() < FRESH_READ_AGE_MS {
@@ -166,16 +164,16 @@
         }
     }
 
-    /// Asks seeds until one brings documents, then some of the peers that these list.
+    /// Contacts the seeds until one sends documents, then some of the peers listed in them.
     ///
-    /// A seed or peer without power says nothing: the others are not held up by it.
-    async fn ask_seeds_and_peers(&self) {
+    /// Contacts the nodes concurrently, so that a lost one does not delay the others.
+    async fn query_seeds_and_peers(&self) {
         let mut seeds = self.exchange_with_each(self.other_seeds());
         while seeds.next().await.is_some() {
             if self.has_documents() {
                 break;
             }
         }
-        self.ask_some_peers().await;
+        self.query_some_peers().await;
     }
 }
--- a/crates/laurelstall_peer/src/spread/reading.rs
+++ b/crates/laurelstall_peer/src/spread/reading.rs
@@ -1,4 +1,4 @@
-//! Reading the platform: all the while as a reader, seldom when nobody seems to read.
+//! Reads the platform: continuously as a reader, rarely as a fallback when no reader seems to work.
 
 use super::{Origin, Spread, standby::ReaderRole};
 use crate::{
@@ -10,32 +10,33 @@
 use std::sync::atomic::Ordering;
 use tokio::time::sleep;
 
-/// First pause after a failed platform read in ms; it doubles up to the limit of the configuration.
+/// First pause after a failed platform read, in ms; doubles up to the configured limit.
 const READ_PAUSE_FIRST_MS: u64 = 200;
-/// How much longer the pauses of a substitute grow after failed reads: while nobody can read, the readers by the
-/// list find out that the platform is back, and all together call it hardly more often.
+/// Factor on the maximum pause of a substitute reader, which keeps the load of all retries on the platform
+/// low. The regular readers notice when the platform is back.
 const SUBSTITUTE_PAUSE_FACTOR: u64 = 4;
-/// A watch that ends sooner without news did not wait, in µs.
+/// A watch that ends sooner without a change did not wait, in µs.
 const WATCH_SHORT_US: u64 = 500_000;
-/// Pause between two looks at who reads, in ms.
+/// Pause between two checks of this node's reader role, in ms.
 const ROLE_CHECK_MS: u64 = 1_000;
-/// Pause of a reader behind another one of its data centre after a watch that brought news at once, in ms.
+/// Pause of any reader but the first of its data centre after a watch that returned a change at once, in
+/// ms.
 ///
-/// In a large fleet something changes all the time, and each watch ends at once. The first reader tells the others within
-/// some ms of what it reads; the second is there for when the first is lost, and a second is soon enough for that.
-const SECOND_READER_PAUSE_MS: u64 = 750;
-/// Reads of the whole fleet together, on average, in each `fallback_read_after_ms`.
+/// In a large fleet most watches return at once. The first reader distributes what it reads within some ms;
+/// the others only need to replace it when it is lost.
+const BACKUP_READER_PAUSE_MS: u64 = 750;
+/// Mean number of fallback reads of the whole fleet per `fallback_read_after_ms`.
 const FALLBACK_READS: f64 = 16.0;
 
 impl Spread {
-    /// Watches the platform while this node is a reader; reads it seldom while it is none and nobody else seems to.
+    /// Watches the platform while this node is a reader; otherwise makes fallback reads.
     pub(super) async fn read_loop(&self) {
         let mut after = None;
         let mut failures = 0;
         loop {
             if !self.is_reader() {
                 after = None;
-                self.read_if_cut_off().await;
+                self.read_as_fallback().await;
                 continue;
             }
             let started_us = self.clock.now_us();
@@ -44,22 +45,22 @@
                 Ok(sequence) => {
                     after = Some(sequence);
                     if failures > 0 {
-                        log::info!("platform: regained after {failures} failed reads");
+                        log::info!("platform: reachable again after {failures} failed reads");
                     }
                     failures = 0;
                     let has_news = self.counts.taken.load(Ordering::Relaxed) > taken;
                     let is_short = self.clock.now_us() - started_us < WATCH_SHORT_US;
                     if is_short && !has_news {
-                        // A stale platform may answer each watch at once with what is known.
+                        // A platform with stale data may answer each watch at once with known versions.
                         sleep(self.jittered(ROLE_CHECK_MS)).await;
-                    } else if is_short && self.is_second_reader() {
-                        sleep(self.jittered(SECOND_READER_PAUSE_MS)).await;
+                    } else if is_short && self.is_backup_reader() {
+                        sleep(self.jittered(BACKUP_READER_PAUSE_MS)).await;
                     }
                 }
                 Err(error) => {
                     self.is_read_failing.store(true, Ordering::Relaxed);
                     if failures == 0 {
-                        log::warn!("platform: lost: {error}; documents stay as they are");
+                        log::warn!("platform: unreachable, documents stay as they are: {error}");
                     }
                     failures += 1;
                     after = None;
@@ -72,9 +73,9 @@
         }
     }
 
-    /// Reads once, if nobody seems to have read for long, with a chance that keeps the whole
-    /// fleet's reads about constant.
-    async fn read_if_cut_off(&self) {
+    /// Reads once, if no read is known for long, with a probability that keeps the rate of the whole fleet
+    /// constant.
+    async fn read_as_fallback(&self) {
         let is_due = sleep(self.jittered(ROLE_CHECK_MS));
         tokio::select! {
             () = is_due => {}
@@ -88,13 +89,13 @@
         let round = after_ms as f64 / ROLE_CHECK_MS as f64;
         let chance = (FALLBACK_READS / hosts / round.max(1.0)).min(1.0);
         if self.rng().random_bool(chance) {
-            // A failure is what made this node read; the next round tries again.
+            // The next round retries a failed read.
             let _ = self.read_platform(None).await;
         }
     }
 
-    /// Takes what a stale read of the platform tells, until other nodes or a plain read bring the newest; false
-    /// when the platform knows no such read.
+    /// Applies the documents of a stale read of the platform until newer ones arrive. Returns `false` if
+    /// the platform does not support stale reads.
     pub(super) async fn read_platform_stale(&self) -> Result<bool, PlatformError> {
         let Some(listing) = self.platform.read_stale().await? else { return Ok(false) };
         self.counts.platform_calls.fetch_add(1, Ordering::Relaxed);
@@ -103,28 +104,30 @@
         for (name, _) in listing.versions {
             let document = self.platform.read(name.clone()).await?;
             if listing.mixed.contains(&name) {
-                self.take_mixed(&document);
+                self.apply_inconsistent(&document);
             } else {
                 let read_us = self.clock.now_us();
-                self.take_from(document, Origin { peer: None, is_stale: true, read_us });
+                self.apply_from(document, Origin { peer: None, is_stale: true, read_us });
             }
         }
         Ok(true)
     }
 
-    fn take_mixed(&self, document: &Document) {
+    fn apply_inconsistent(&self, document: &Document) {
         let (name, version) = (&document.name, document.version);
         let offer = self.store().offer_mixed(document, &*self.acceptor);
         match offer {
-            Offer::Taken => log::info!("{name}: in force from a stale read, parts up to version {version}"),
-            Offer::Refused(error) => log::error!("{name} of a stale read refused: {error}"),
+            Offer::Taken => {
+                log::info!("{name}: active from a stale read, with parts up to version {version}")
+            }
+            Offer::Refused(error) => log::error!("{name}: document of a stale read is rejected: {error}"),
             _ => {}
         }
     }
 
     pub(super) async fn read_platform(&self, after: Option<u64>) -> Result<u64, PlatformError> {
         self.counts.platform_calls.fetch_add(1, Ordering::Relaxed);
-        let asked_us = self.clock.now_us();
+        let requested_us = self.clock.now_us();
         self.platform.note_era(self.platform_era());
         let listing: Listing = self.platform.watch(after).await?;
         self.note_platform_era(listing.era);
@@ -139,7 +142,7 @@
             let document = self.platform.read(name).await?;
             self.take(document);
         }
-        self.note_in_step(asked_us);
+        self.note_up_to_date(requested_us);
         Ok(listing.sequence)
     }
 }
--- a/crates/laurelstall_peer/src/spread/standby.rs
+++ b/crates/laurelstall_peer/src/spread/standby.rs
@@ -1,8 +1,8 @@
-//! Who reads the platform in the place of readers that are lost.
+//! Elects substitutes for readers that are lost.
 //!
-//! The list says which hosts of a data centre read, but it lags: readers that lose power, or that the platform
-//! refuses, are in it for seconds. So the next few hosts in the same order stand by: each asks the hosts ahead of it
-//! whether they can read, and reads as long as too few can.
+//! The list of hosts determines the readers of a data centre, but it lags by seconds when a reader loses
+//! power or is refused by the platform. The next few hosts in the reader order are standbys: each checks
+//! whether the hosts before it can read, and reads the platform while too few can.
 
 use super::Spread;
 use crate::{
@@ -18,103 +18,105 @@
 };
 use tokio::time::{Duration, sleep, timeout};
 
-/// Hosts of each data centre that stand by: with two readers, all of a data centre of five, and chances that all
-/// are lost with more than half of the fleet below one in a hundred in three data centres.
+/// Standbys in each data centre. With two readers, all of them being lost is unlikely even if half of the
+/// fleet is.
 const STANDBYS: usize = 3;
-/// Pause between two rounds of questions in ms, on average. With four hosts ahead a round costs about 1.2 KB, so a node
-/// that stands by spends half of the 6 KB/s that control may cost it.
-const ROUND_MS: u64 = 400;
-/// How long an answer is waited for; whoever does not answer twice in a row is taken for lost.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(200);
+/// Mean pause between two rounds of checks, in ms. Keeps the traffic of a standby at about half of its
+/// control budget.
+const CHECK_INTERVAL_MS: u64 = 400;
+/// Time to wait for an answer; a host that misses two in a row counts as lost.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Whether a node reads the platform.
+/// Whether a node reads the platform, and why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReaderRole {
-    /// It does, by the list.
+    /// It is a regular reader by the list of hosts.
     Reader,
-    /// It does, since too few of those ahead of it can.
+    /// It is a standby, and too few of the hosts before it can read.
     Substitute,
-    /// It does not.
+    /// It does not read.
     None,
 }
 
 impl Spread {
-    /// Whether this node reads the platform, and why.
+    /// Returns this node's role.
     pub(super) fn reader_role(&self) -> ReaderRole {
         let fleet = self.view.fleet();
         if fleet.hosts.is_empty() {
-            return if self.reads_first() { ReaderRole::Reader } else { ReaderRole::None };
+            return if self.is_bootstrap_reader() { ReaderRole::Reader } else { ReaderRole::None };
         }
         let count = self.view.spread().readers_per_data_centre;
         let Some(ahead) = self.addresses_ahead() else { return ReaderRole::None };
         if ahead.len() < count {
             return ReaderRole::Reader;
         }
-        let unable = self.unable_readers.lock().unwrap_or_else(PoisonError::into_inner);
-        let able = ahead.iter().filter(|address| !unable.contains(*address)).count();
-        if able < count { ReaderRole::Substitute } else { ReaderRole::None }
+        let failed = self.failed_readers.lock().unwrap_or_else(PoisonError::into_inner);
+        let working = ahead.iter().filter(|address| !failed.contains(*address)).count();
+        if working < count { ReaderRole::Substitute } else { ReaderRole::None }
     }
 
-    /// Whether another node of the data centre comes before this one as a reader, and can read as far as is known.
-    pub(super) fn is_second_reader(&self) -> bool {
+    /// Whether another node precedes this one in the reader order and can read, as far as known.
+    pub(super) fn is_backup_reader(&self) -> bool {
         let ahead = self.addresses_ahead().unwrap_or_default();
-        let unable = self.unable_readers.lock().unwrap_or_else(PoisonError::into_inner);
-        ahead.iter().any(|address| !unable.contains(address))
+        let failed = self.failed_readers.lock().unwrap_or_else(PoisonError::into_inner);
+        ahead.iter().any(|address| !failed.contains(address))
     }
 
-    /// Whether this node can read the platform, as far as its last read tells.
+    /// Whether this node's last read of the platform, if any, succeeded.
     pub(super) fn can_read(&self) -> bool {
         !self.is_read_failing.load(Ordering::Relaxed)
     }
 
-    /// Asks the hosts ahead of this one whether they can read, as long as it stands by.
+    /// Checks whether the hosts before this one can read, while this node is a standby.
     pub(super) async fn standby_loop(&self) {
         loop {
-            sleep(self.jittered(ROUND_MS)).await;
+            sleep(self.jittered(CHECK_INTERVAL_MS)).await;
             let count = self.view.spread().readers_per_data_centre;
             let ahead = self.addresses_ahead().unwrap_or_default();
-            let stands_by = (count..count + STANDBYS).contains(&ahead.len());
-            let asked = if stands_by { ahead } else { Vec::new() };
-            let answers = join_all(asked.iter().map(|address| self.is_able(*address))).await;
-            let unable = asked.into_iter().zip(answers).filter(|(_, is_able)| !is_able);
-            self.note_unable(unable.map(|(address, _)| address).collect());
+            let is_standby = (count..count + STANDBYS).contains(&ahead.len());
+            let checked = if is_standby { ahead } else { Vec::new() };
+            let answers = join_all(checked.iter().map(|address| self.check_can_read(*address))).await;
+            let failed = checked.into_iter().zip(answers).filter(|(_, check_can_read)| !check_can_read);
+            self.set_failed_readers(failed.map(|(address, _)| address).collect());
         }
     }
 
-    fn note_unable(&self, unable: HashSet<SocketAddr>) {
+    fn set_failed_readers(&self, failed: HashSet<SocketAddr>) {
         let before = self.reader_role();
-        *self.unable_readers.lock().unwrap_or_else(PoisonError::into_inner) = unable;
+        *self.failed_readers.lock().unwrap_or_else(PoisonError::into_inner) = failed;
         let after = self.reader_role();
         if before == after {
             return;
         }
         match after {
-            ReaderRole::Substitute => log::info!("platform: read from here, since too few readers can"),
-            _ => log::info!("platform: left to its readers again"),
+            ReaderRole::Substitute => {
+                log::info!("platform: this node reads it as a substitute, since too few readers can")
+            }
+            _ => log::info!("platform: this node is no substitute reader any more"),
         }
         self.role_changed.notify_one();
     }
 
-    /// Whether a host says that it can read the platform; one that does not answer twice cannot.
-    async fn is_able(&self, address: SocketAddr) -> bool {
+    /// Whether a host reports that it can read the platform; two missing answers count as no.
+    async fn check_can_read(&self, address: SocketAddr) -> bool {
         for _ in 0..2 {
-            if let Ok(can_read) = self.ask_can_read(address).await {
+            if let Ok(can_read) = self.request_can_read(address).await {
                 return can_read;
             }
         }
         false
     }
 
-    async fn ask_can_read(&self, address: SocketAddr) -> Result<bool, PeerError> {
-        let asked = timeout(ANSWER_PATIENCE, self.client.ask(address, &PeerRequest::CanRead)).await;
-        match asked.unwrap_or(Err(PeerError::TimedOut))? {
+    async fn request_can_read(&self, address: SocketAddr) -> Result<bool, PeerError> {
+        let answered = timeout(ANSWER_TIMEOUT, self.client.ask(address, &PeerRequest::CanRead)).await;
+        match answered.unwrap_or(Err(PeerError::TimedOut))? {
             PeerAnswer::CanRead(can_read) => Ok(can_read),
             _ => Err(PeerError::Unexpected),
         }
     }
 
-    /// The nodes that come before this one in the order in which its data centre's read; none when the list
-    /// lacks its own host.
+    /// Addresses of the nodes before this one in the reader order of its data centre; `None` if its own
+    /// host is not listed.
     fn addresses_ahead(&self) -> Option<Vec<SocketAddr>> {
         let fleet = self.view.fleet();
         fleet.host(&self.options.host)?;
--- a/crates/laurelstall_peer/src/spread_state.rs
+++ b/crates/laurelstall_peer/src/spread_state.rs
@@ -1,31 +1,31 @@
-//! What a node counts and remembers of its part in spreading.
+//! Counters of replication, and the state of partners.
 
 use std::sync::atomic::AtomicU64;
 
-/// Counts since the start.
+/// Counters since the start of the node.
 #[derive(Debug, Default)]
 pub struct SpreadCounts {
-    /// Documents put in force.
+    /// Documents that were activated.
     pub taken: AtomicU64,
-    /// Documents refused for faults.
+    /// Documents that were rejected for faults.
     pub refused: AtomicU64,
-    /// Pulls answered with a delta that did not fit.
+    /// Transfers that could not be rebuilt.
     pub deltas_failed: AtomicU64,
-    /// Calls made to the platform, a watch as one.
+    /// Requests to the platform; a watch counts as one.
     pub platform_calls: AtomicU64,
-    /// Exchanges that this node began.
+    /// Exchanges that this node started.
     pub exchanges: AtomicU64,
-    /// Exchanges that failed.
+    /// Exchanges started by this node that failed.
     pub exchanges_failed: AtomicU64,
 }
 
-/// How a partner stood at the last exchange.
+/// Result of the last exchange with a partner.
 #[derive(Debug, Clone, Copy)]
 pub struct PartnerState {
-    /// Whether it had the same versions.
+    /// Whether the partner had the same versions.
     pub is_in_step: bool,
-    /// Whether it answered.
+    /// Whether the partner answered.
     pub is_reached: bool,
-    /// When, in µs of this node's clock.
+    /// Time of the exchange, in µs of this node's clock.
     pub at_us: u64,
 }
--- a/crates/laurelstall_peer/src/store.rs
+++ b/crates/laurelstall_peer/src/store.rs
@@ -1,4 +1,4 @@
-//! The documents that a node holds, the newest accepted version of each.
+//! Holds the newest accepted version of each document.
 
 use crate::{
     carried_news::CarriedNews,
@@ -16,51 +16,52 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// Older versions kept of each document, to make deltas against.
+/// Number of older versions kept of each document as bases for deltas.
 pub const HISTORY_LENGTH: usize = 4;
 
-/// Whoever checks a document and puts it in force.
+/// Validates documents and activates them.
 pub trait Acceptor: Send + Sync + fmt::Debug {
-    /// Checks `document` whole and, if it is right, swaps it in.
+    /// Validates `document` and activates it if it is valid.
     ///
     /// # Errors
     ///
-    /// All its faults; nothing has changed then.
+    /// All faults of the document; nothing is changed then.
     fn accept(&self, document: &Document) -> Result<(), ConfigError>;
 
-    /// Told that the platform is back since `returned_age_ms`, after it was away so long that registrations may have
-    /// run out there: what is missing from its next lists may live all the same.
+    /// Called when a platform outage ended `returned_age_ms` ago that was long enough for registrations to
+    /// expire: targets missing from the next lists may still be running.
     fn expect_lapsed(&self, _returned_age_ms: u64) {}
 
-    /// A hash of what is carried over the last return of the platform from an older copy; 0 for nothing.
+    /// A hash of the corrections since the platform was last restored from an older copy; 0 for none.
     fn carried_hash(&self) -> u64 {
         0
     }
 
-    /// What is carried over the last return of the platform, for other nodes.
+    /// The corrections since the platform was last restored, to be sent to other nodes.
     fn carried(&self) -> Option<CarriedNews> {
         None
     }
 
-    /// Takes what another node carries over the last return of the platform.
-    fn take_carried(&self, _news: &CarriedNews) {}
+    /// Merges the corrections of another node.
+    fn take_carried(&self, _corrections: &CarriedNews) {}
 
-    /// Told how long after a node read it from the platform a document came in force here, in µs.
+    /// Records the time in µs between the first read of a document from the platform and its activation
+    /// here.
     fn note_delay(&self, _delay_us: u64) {}
 }
 
-/// What became of a document that was offered.
+/// Result of offering a document to the store.
 #[derive(Debug, Clone)]
 pub enum Offer {
-    /// It is in force now.
+    /// The document is active now.
     Taken,
-    /// The version held is as new or newer.
+    /// The held version is at least as new.
     NotNewer,
-    /// The same version came with another text; the one held stays.
+    /// The held document has the same version but another text; it stays.
     Conflict,
-    /// It has faults; the one held stays.
+    /// The document has faults; the held one stays.
     Refused(ConfigError),
-    /// It is too long, or there are too many.
+    /// The document is too large, or there are too many documents.
     TooLarge,
 }
 
@@ -69,31 +70,32 @@
     current: Document,
     checksum: u64,
     older: VecDeque<Document>,
-    /// What was packed of the current version, by the version that its receivers had; none for the whole text.
+    /// Packed texts of the current version by the base version of the receiver; [`Version::NONE`] for the
+    /// whole text.
     packed: Vec<(Version, TransferText)>,
 }
 
-/// Documents by name; versions only grow.
+/// Documents by name; the version of a document never decreases.
 #[derive(Debug, Default)]
 pub struct Store {
     entries: BTreeMap<DocumentName, Entry>,
     refused: BTreeMap<DocumentName, Version>,
-    /// Versions of documents that are in force but not held; see [`Store::offer_mixed`].
-    mixed: BTreeMap<DocumentName, Version>,
+    /// Versions of documents that are active but not held; see [`Store::offer_mixed`].
+    inconsistent: BTreeMap<DocumentName, Version>,
     conflicts: u64,
 }
 
 impl Store {
-    /// Offers a document, from wherever it came.
+    /// Offers a document from any source.
     pub fn offer(&mut self, document: Document, acceptor: &dyn Acceptor) -> Offer {
         let held = self.version(&document.name);
-        if document.version < held.max(self.mixed_version(&document.name))
+        if document.version < held.max(self.inconsistent_version(&document.name))
             || document.version == Version::NONE
         {
             return Offer::NotNewer;
         }
         if document.version == held {
-            return self.compare(&document);
+            return self.check_conflict(&document);
         }
         let is_new_name = !self.entries.contains_key(&document.name);
         if document.text.len() > DOCUMENT_BYTES_MAX || (is_new_name && self.entries.len() >= DOCUMENTS_MAX) {
@@ -104,46 +106,47 @@
             *refused = document.version.max(*refused);
             return Offer::Refused(error);
         }
-        self.put(document);
+        self.insert(document);
         Offer::Taken
     }
 
-    /// Puts a document in force whose parts may be from different moments, until a whole one is there.
+    /// Activates a document whose parts may be from different moments, until a consistent one arrives.
     ///
-    /// It is not held: its text may differ from what other nodes have under this version, so it is neither
-    /// compared nor given to them. A whole one replaces it unless it is older.
+    /// It is not held, compared or sent to other nodes, since their text of this version may differ. A
+    /// consistent document replaces it unless it is older.
     pub fn offer_mixed(&mut self, document: &Document, acceptor: &dyn Acceptor) -> Offer {
-        if self.entries.contains_key(&document.name) || document.version <= self.mixed_version(&document.name)
+        if self.entries.contains_key(&document.name)
+            || document.version <= self.inconsistent_version(&document.name)
         {
             return Offer::NotNewer;
         }
         if let Err(error) = acceptor.accept(document) {
             return Offer::Refused(error);
         }
-        self.mixed.insert(document.name.clone(), document.version);
+        self.inconsistent.insert(document.name.clone(), document.version);
         Offer::Taken
     }
 
-    fn mixed_version(&self, name: &DocumentName) -> Version {
-        self.mixed.get(name).copied().unwrap_or_default()
+    fn inconsistent_version(&self, name: &DocumentName) -> Version {
+        self.inconsistent.get(name).copied().unwrap_or_default()
     }
 
-    /// The version held; [`Version::NONE`] for none.
+    /// Returns the held version, or [`Version::NONE`].
     pub fn version(&self, name: &DocumentName) -> Version {
         self.entries.get(name).map(|entry| entry.current.version).unwrap_or_default()
     }
 
-    /// The document held.
+    /// Returns the held document.
     pub fn document(&self, name: &DocumentName) -> Option<&Document> {
         self.entries.get(name).map(|entry| &entry.current)
     }
 
-    /// All versions held.
+    /// Returns all held versions.
     pub fn versions(&self) -> Vec<(DocumentName, Version)> {
         self.entries.iter().map(|(name, entry)| (name.clone(), entry.current.version)).collect()
     }
 
-    /// A hash of all versions held.
+    /// Returns a hash of all held versions and texts.
     pub fn versions_hash(&self) -> u64 {
         let mut hash = Xxh3::new();
         for (name, entry) in &self.entries {
@@ -155,30 +158,30 @@
         hash.finish()
     }
 
-    /// Versions that were refused and not replaced since.
+    /// Returns the rejected versions that are newer than the held ones.
     pub fn refused(&self) -> impl Iterator<Item = (&DocumentName, Version)> {
         let newer = |(name, version): &(&DocumentName, Version)| *version > self.version(name);
         self.refused.iter().map(|(name, version)| (name, *version)).filter(newer)
     }
 
-    /// Offers that had a held version with another text.
+    /// Number of offers that had a held version with another text.
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
 
-    /// Whether `version` is worth fetching: newer than what is held and not refused before.
+    /// Whether `version` is worth pulling: newer than the held one and not rejected before.
     pub fn wants(&self, name: &DocumentName, version: Version) -> bool {
         let refused = self.refused.get(name).copied().unwrap_or_default();
-        version > self.version(name) && version >= self.mixed_version(name) && version != refused
+        version > self.version(name) && version >= self.inconsistent_version(name) && version != refused
     }
 
-    /// What to pull from somebody who has these versions.
+    /// Returns what to pull from a node that holds the versions `theirs`.
     pub fn behind(&self, theirs: &[(DocumentName, Version)]) -> Vec<PullItem> {
         let wanted = theirs.iter().filter(|(name, version)| self.wants(name, *version));
         wanted.map(|(name, _)| self.pull_item(name)).collect()
     }
 
-    /// The versions held that are newer than `theirs`.
+    /// Returns the held versions that are newer than `theirs`.
     pub fn ahead(&self, theirs: &[(DocumentName, Version)]) -> Vec<(DocumentName, Version)> {
         let known = |name: &DocumentName| {
             let found = theirs.iter().find(|(n, _)| n == name);
@@ -187,10 +190,10 @@
         self.versions().into_iter().filter(|(name, version)| *version > known(name)).collect()
     }
 
-    /// Packs a document for somebody who has what `item` says, without its age; none when it is not newer.
+    /// Packs a document for a node that holds the version in `item`, with a read age of 0; `None` if the
+    /// document is not newer.
     ///
-    /// A node is asked by its partners within some ms of each other, most of which have the same version: the text is
-    /// packed once for all of them.
+    /// Caches the packed text, since several partners with the same version usually pull at the same time.
     pub fn pack(&mut self, item: &PullItem) -> Option<Transfer> {
         let entry = self.entries.get_mut(&item.name)?;
         let current = &entry.current;
@@ -219,11 +222,11 @@
         })
     }
 
-    /// Rebuilds a document that was sent.
+    /// Rebuilds a received document.
     ///
     /// # Errors
     ///
-    /// [`DeltaError`]: the sender must then be asked for the whole text.
+    /// [`DeltaError`] if the text cannot be rebuilt; the caller then requests the whole text.
     pub fn unpack(&self, transfer: &Transfer) -> Result<Document, DeltaError> {
         let text_bytes = (transfer.text_bytes as usize).min(DOCUMENT_BYTES_MAX);
         let text = match &transfer.text {
@@ -249,7 +252,7 @@
         }
     }
 
-    fn compare(&mut self, document: &Document) -> Offer {
+    fn check_conflict(&mut self, document: &Document) -> Offer {
         let is_same = self.document(&document.name).is_some_and(|held| held.text == document.text);
         if is_same {
             return Offer::NotNewer;
@@ -258,10 +261,10 @@
         Offer::Conflict
     }
 
-    fn put(&mut self, document: Document) {
+    fn insert(&mut self, document: Document) {
         let checksum = document.checksum();
         let name = document.name.clone();
-        self.mixed.remove(&name);
+        self.inconsistent.remove(&name);
         let Some(entry) = self.entries.get_mut(&name) else {
             self.entries.insert(
                 name,
@@ -269,7 +272,7 @@
             );
             return;
         };
-        assert!(document.version > entry.current.version, "a configuration never goes back");
+        assert!(document.version > entry.current.version, "a document's version never decreases");
         let old = std::mem::replace(&mut entry.current, document);
         entry.checksum = checksum;
         entry.packed.clear();
--- a/crates/laurelstall_peer/tests/dropped_hosts.rs
+++ b/crates/laurelstall_peer/tests/dropped_hosts.rs
@@ -1,4 +1,4 @@
-//! Nodes whose hosts leave the list of hosts, and with it the partners of all others.
+//! Distribution of lists of hosts to nodes that the list no longer contains.
 
 mod support;
 
@@ -21,26 +21,26 @@
     net::SocketAddr,
     sync::{Arc, Mutex, atomic::Ordering},
 };
-use support::mesh::{Darkness, Handler, HostLink, Platform, WayToPlatform};
+use support::mesh::{Handler, HostLink, HostPlatform, HostSet, Platform};
 use tokio::{
     net::TcpListener,
     task::JoinSet,
     time::{Duration, Instant, sleep},
 };
 
-/// Pause between exchanges far longer than a test, in ms: news come by offers alone.
+/// Interval between exchanges that exceeds a test, in ms, so that only offers distribute versions.
 const NO_EXCHANGES_MS: u64 = 60_000;
-/// Longest that news are waited for.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Maximum time to wait for a version.
+const WAIT_MAX: Duration = Duration::from_secs(10);
 
-/// The list of hosts in force at a node.
+/// The list of hosts that is active on a node.
 #[derive(Debug)]
-struct InForce {
+struct ActiveFleet {
     fleet: Mutex<Arc<Fleet>>,
     exchange_interval_ms: u64,
 }
 
-impl Acceptor for InForce {
+impl Acceptor for ActiveFleet {
     fn accept(&self, document: &Document) -> Result<(), ConfigError> {
         let fleet = Fleet::from_text("fleet", &document.text)?;
         *self.fleet.lock().expect("no test panics while it holds it") = Arc::new(fleet);
@@ -48,7 +48,7 @@
     }
 }
 
-impl SpreadView for InForce {
+impl SpreadView for ActiveFleet {
     fn fleet(&self) -> Arc<Fleet> {
         self.fleet.lock().expect("no test panics while it holds it").clone()
     }
@@ -58,11 +58,11 @@
     }
 }
 
-/// Nodes that hold the same list of hosts, and a platform that answers none of them.
+/// Nodes with the same list of hosts, and a platform that answers none of them.
 struct Rig {
     hosts: Vec<Host>,
     nodes: Vec<Arc<Spread>>,
-    /// Ends with the rig.
+    /// Aborted when the rig is dropped.
     _tasks: JoinSet<()>,
 }
 
@@ -87,22 +87,22 @@
         rig
     }
 
-    /// A list of the first few hosts.
+    /// A list of the first `count` hosts.
     fn list(&self, number: u64, count: usize) -> Document {
         let fleet = Fleet { hosts: self.hosts[..count].to_vec(), ..Fleet::default() };
-        let text = serde_json::to_string(&fleet).expect("it is a list");
+        let text = serde_json::to_string(&fleet).expect("a fleet can be serialized");
         Document { name: DocumentName::Fleet, version: Version::new(number), text }
     }
 
-    /// Exchanges that a node began.
+    /// Number of exchanges that a node has started.
     fn exchanges(&self, number: usize) -> u64 {
         self.nodes[number].counts.exchanges.load(Ordering::Relaxed)
     }
 
-    /// Whether a node holds this version of the list before long.
-    async fn gets(&self, number: usize, version: u64) -> bool {
+    /// Waits for a version of the list on a node, and returns whether it arrived in time.
+    async fn receives(&self, number: usize, version: u64) -> bool {
         let started = Instant::now();
-        while started.elapsed() < LONGEST {
+        while started.elapsed() < WAIT_MAX {
             if self.nodes[number].store().version(&DocumentName::Fleet) >= Version::new(version) {
                 return true;
             }
@@ -120,38 +120,32 @@
         seeds: Vec::new(),
         seed,
     };
-    let darkness = Arc::<Darkness>::default();
-    let link = Arc::new(HostLink::new(peer_address, darkness.clone()));
-    let platform = Arc::new(WayToPlatform::new(peer_address, Arc::<Platform>::default(), darkness));
+    let unreachable = Arc::<HostSet>::default();
+    let link = Arc::new(HostLink::new(peer_address, unreachable.clone()));
+    let platform = Arc::new(HostPlatform::new(peer_address, Arc::<Platform>::default(), unreachable));
     let clock = Clock::new();
     let client = PeerClient::new(Arc::new(Pool::new(clock, Arc::new(Meter::default()), link)));
-    let in_force = Arc::new(InForce { fleet: Mutex::default(), exchange_interval_ms });
-    Spread::new(options, clock, client, platform, in_force.clone(), in_force)
+    let active_fleet = Arc::new(ActiveFleet { fleet: Mutex::default(), exchange_interval_ms });
+    Spread::new(options, clock, client, platform, active_fleet.clone(), active_fleet)
 }
 
-// A target left without a word: its entry was gone from the list. Everybody was told but the node beside it, which the new
-// list lacks as well, and which so was nobody's partner any more; it went on sending its own callers' requests to the
-// target until it asked another node by itself. In a fleet of 295 hosts with nothing wrong, one wrote
-// `own target: '' after 'i-fb6a174453', by version 535 of the fleet` 1847 ms after that version was first in force.
+// A node that the new list lacks is nobody's partner any more. Without an offer of that list, it went on
+// sending calls to its departed target.
 #[tokio::test]
-async fn a_node_whose_host_leaves_the_list_is_told() {
+async fn a_node_whose_host_leaves_the_list_is_offered_that_list() {
     let rig = Rig::start(8, NO_EXCHANGES_MS).await;
-    assert!(
-        rig.nodes[0].take(rig.list(2, 7)),
-        "the reader of its data centre reads that the last host is gone"
-    );
-    assert!(rig.gets(6, 2).await, "a listed node");
-    assert!(rig.gets(7, 2).await, "the node beside what has left");
+    assert!(rig.nodes[0].take(rig.list(2, 7)), "the reader takes a list without the last host");
+    assert!(rig.receives(6, 2).await, "a listed node");
+    assert!(rig.receives(7, 2).await, "the removed node");
 }
 
-// A host that the list lacks, since its target left or has not registered yet, is nobody's partner, while its node goes on
-// taking calls. It heard of a new version by its own next exchange: in a fleet of 295 hosts up to 2021 ms after that was
-// read, where all others had it within 0.3 s; 19 of the 20 latest nodes of a day had written `own target: ''` before.
+// A node whose host is not listed is nobody's partner but still takes calls, so it learns of new versions
+// only through its own exchanges.
 #[tokio::test]
-async fn a_node_whose_host_is_not_listed_asks_more_often() {
+async fn a_node_whose_host_is_not_listed_exchanges_more_often() {
     let rig = Rig::start(8, 1_000).await;
     rig.nodes[0].take(rig.list(2, 7));
-    assert!(rig.gets(7, 2).await, "the node beside what has left");
+    assert!(rig.receives(7, 2).await, "the removed node");
     let (listed_before, unlisted_before) = (rig.exchanges(6), rig.exchanges(7));
     while rig.exchanges(6) < listed_before + 5 {
         sleep(Duration::from_millis(20)).await;
--- a/crates/laurelstall_peer/tests/eras.rs
+++ b/crates/laurelstall_peer/tests/eras.rs
@@ -1,4 +1,4 @@
-//! How lists of a later era get around: their numbers are lower than those of the era before.
+//! Distribution of documents from a later era, whose version numbers are lower.
 
 mod support;
 
@@ -17,14 +17,14 @@
     time::{Duration, Instant, sleep},
 };
 
-/// Within which a version is in force at all nodes.
+/// Maximum time until a version is active on all nodes.
 const BOUND: Duration = Duration::from_secs(2);
 
 fn list(version: Version) -> Document {
     Document { name: DocumentName::Fleet, version, text: format!("list {version}") }
 }
 
-/// Waits until all nodes hold this list; for how long.
+/// Waits until all nodes hold this list, and returns how long that took.
 async fn time_to_all(mesh: &Mesh, version: Version) -> Duration {
     let started = Instant::now();
     let text = list(version).text;
@@ -39,23 +39,23 @@
 }
 
 #[tokio::test]
-async fn readers_in_two_eras_and_nodes_that_were_cut_off_end_with_the_later_one() {
+async fn readers_in_two_eras_and_partitioned_nodes_converge_on_the_later_era() {
     for seed in 1..=3 {
         let mesh = Mesh::start(9, seed).await;
         let old = Version::in_era(0, 100);
         mesh.nodes[0].1.take(list(old));
         assert!(time_to_all(&mesh, old).await < BOUND, "seed {seed}");
         let (cut, _) = mesh.nodes[8];
-        mesh.darkness.add(cut);
-        // One reader is in the new era already, another one still takes a list of the old.
+        mesh.unreachable.add(cut);
+        // One reader is in the new era already, while another one still takes a list of the old one.
         mesh.nodes[1].1.take(list(Version::in_era(1, 7)));
         mesh.nodes[2].1.take(list(Version::in_era(0, 101)));
         mesh.nodes[8].1.take(list(Version::in_era(0, 102)));
         sleep(Duration::from_millis(500)).await;
-        mesh.darkness.remove(cut);
+        mesh.unreachable.remove(cut);
         let took = time_to_all(&mesh, Version::in_era(1, 7)).await;
         assert!(took < BOUND, "seed {seed}: {took:?}");
-        // A second return, before all have heard of the first one's next list.
+        // A second restore, before all nodes have the next list of the first one.
         mesh.nodes[3].1.take(list(Version::in_era(1, 8)));
         mesh.nodes[4].1.take(list(Version::in_era(2, 3)));
         let took = time_to_all(&mesh, Version::in_era(2, 3)).await;
@@ -64,7 +64,7 @@
     }
 }
 
-/// A node that answers all but pulls.
+/// A node that answers everything but pulls.
 #[derive(Debug)]
 struct WithoutPulls(Handler);
 
@@ -85,11 +85,11 @@
     }
 }
 
-/// A platform that came back from a copy with version 1, and knows stale reads.
+/// A platform that was restored from a copy with version 1, and supports stale reads.
 #[derive(Debug)]
-struct Returned;
+struct RestoredPlatform;
 
-impl PlatformSource for Returned {
+impl PlatformSource for RestoredPlatform {
     fn watch(&self, _: Option<u64>) -> BoxFuture<'_, Result<Listing, PlatformError>> {
         pending().boxed()
     }
@@ -104,10 +104,10 @@
     }
 }
 
-// A node that started while its seed was slow read the copy's configuration, and then asked others what the copy had lost.
-// Nobody's documents came: the pull from the seed, which nobody waited for any more, still held its turn.
+// An abandoned pull from a slow seed blocked the pulls from other nodes, so that a new node kept the
+// documents of the restored copy.
 #[tokio::test]
-async fn a_seed_that_is_slow_does_not_hold_up_those_that_know_better_than_the_copy() {
+async fn a_slow_seed_does_not_block_peers_with_newer_documents_than_the_copy() {
     let mesh = Mesh::start(5, 1).await;
     mesh.nodes[0].1.take(version(2));
     mesh.time_to_all(2).await;
@@ -116,8 +116,8 @@
     let handler = Arc::new(WithoutPulls(Handler::new(mesh.nodes[0].1.clone())));
     let serving = tokio::spawn(PeerServer::new(handler, Arc::default()).serve(listener));
     let (own, _) = mesh.nodes[4];
-    let link = Arc::new(HostLink::new(own, mesh.darkness.clone()));
-    let started = node(&mesh.fleet, 4, 9, link, Arc::new(Returned));
+    let link = Arc::new(HostLink::new(own, mesh.unreachable.clone()));
+    let started = node(&mesh.fleet, 4, 9, link, Arc::new(RestoredPlatform));
     started.set_seeds(vec![seed]);
     started.join().await;
     assert_eq!(started.store().version(&DocumentName::System), Version::new(2));
--- a/crates/laurelstall_peer/tests/full_links.rs
+++ b/crates/laurelstall_peer/tests/full_links.rs
@@ -1,4 +1,4 @@
-//! Connections whose answers to pings are held up behind other bytes, as on a full link.
+//! Connections on which the answers to pings are delayed by other data.
 
 use bytes::Bytes;
 use futures_util::{
@@ -33,18 +33,18 @@
     time::{Duration, sleep},
 };
 
-/// Pause between two pieces of an answer: longer than the silence after which a connection is pinged, and far
-/// shorter than the wait for the ping's answer.
+/// Pause between two pieces of an answer: longer than the silence before a ping, and far shorter than its
+/// timeout.
 const PIECE_PAUSE: Duration = Duration::from_millis(350);
-/// So many that one pause falls whole between two looks at what came.
+/// Enough pieces for a whole pause to fall between two checks of the connection.
 const PIECES: usize = 14;
-/// Type of a ping's frame, and the flag of its answer (RFC 9113, 6.7).
+/// Type of a ping frame, and the flag of its answer (RFC 9113, 6.7).
 const PING_FRAME: u8 = 6;
 const ACK_FLAG: u8 = 1;
-/// Bytes of a frame's head.
-const FRAME_HEAD_BYTES: usize = 9;
+/// Length of a frame header in bytes.
+const FRAME_HEADER_BYTES: usize = 9;
 
-/// A guard whose answers come piece by piece.
+/// A guard that sends its answers in small pieces.
 #[derive(Debug)]
 struct SlowGuard;
 
@@ -84,10 +84,10 @@
     (listener, address)
 }
 
-/// Passes all frames on but the answers to pings.
-async fn pass_without_pongs(mut from: OwnedReadHalf, mut to: OwnedWriteHalf) -> std::io::Result<()> {
+/// Forwards all frames but the answers to pings.
+async fn forward_without_pongs(mut from: OwnedReadHalf, mut to: OwnedWriteHalf) -> std::io::Result<()> {
     loop {
-        let mut head = [0; FRAME_HEAD_BYTES];
+        let mut head = [0; FRAME_HEADER_BYTES];
         from.read_exact(&mut head).await?;
         let length = u32::from_be_bytes([0, head[0], head[1], head[2]]) as usize;
         let mut payload = vec![0; length];
@@ -99,20 +99,20 @@
     }
 }
 
-/// A way to `node` on which no answer to a ping arrives.
-async fn way_without_pongs(node: SocketAddr) -> SocketAddr {
+/// Starts a proxy to `node` that drops the answers to pings, and returns its address.
+async fn proxy_without_pongs(node: SocketAddr) -> SocketAddr {
     let (listener, address) = listen().await;
     tokio::spawn(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            let far = TcpStream::connect(node).await.expect("it listens");
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
+        while let Ok((client, _)) = listener.accept().await {
+            let server = TcpStream::connect(node).await.expect("it listens");
+            let (client_read, client_write) = client.into_split();
+            let (server_read, server_write) = server.into_split();
             tokio::spawn(async move {
-                let (mut near_read, mut far_write) = (near_read, far_write);
-                // Either way ends with its connection.
-                let _ = copy(&mut near_read, &mut far_write).await;
+                let (mut client_read, mut server_write) = (client_read, server_write);
+                // Each direction ends with its connection.
+                let _ = copy(&mut client_read, &mut server_write).await;
             });
-            tokio::spawn(pass_without_pongs(far_read, near_write));
+            tokio::spawn(forward_without_pongs(server_read, client_write));
         }
     });
     address
@@ -146,14 +146,14 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_comes_is_not_cut_for_a_ping_that_is_not_answered() {
+async fn an_answer_in_progress_is_not_cut_for_an_unanswered_ping() {
     let (listener, node) = listen().await;
     let server = PeerServer::new(Arc::new(SlowGuard), Arc::new(Meter::default()));
     tokio::spawn(server.serve(listener));
-    let way = way_without_pongs(node).await;
+    let proxy = proxy_without_pongs(node).await;
     let pool = Pool::new(Clock::new(), Arc::new(Meter::default()), Arc::new(OpenLink));
     let client = PeerClient::new(Arc::new(pool));
-    let answer = client.attempt(way, attempt()).await;
+    let answer = client.attempt(proxy, attempt()).await;
     let AttemptOutcome::Answered { body, .. } = answer.outcome else { panic!("{:?}", answer.outcome) };
     let whole = body.collect().await.map(|body| body.to_bytes().len());
     assert_eq!(whole.map_err(|error| error.to_string()), Ok(PIECES));
--- a/crates/laurelstall_peer/tests/messages.rs
+++ b/crates/laurelstall_peer/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages: what they cost, and that nothing from outside is misread.
+//! Size of messages, and decoding of invalid ones.
 
 use laurelstall_balance::hint::{HINT_BYTES, Hint, TargetState};
 use laurelstall_config::{
@@ -17,7 +17,7 @@
     recent_fleet::WORDS_MAX,
 };
 
-/// Version and length before each message.
+/// Length of the version and length fields before each message.
 const PREFIX_BYTES: usize = 5;
 
 fn head() -> AttemptHead {
@@ -47,15 +47,15 @@
 }
 
 #[test]
-fn a_message_is_read_as_it_was_written() {
+fn a_message_survives_encoding_and_decoding() {
     let request = PeerRequest::Attempt(head());
     let frame = encode(&request);
     assert_eq!(frame[0], MESSAGE_VERSION);
-    assert_eq!(decode::<PeerRequest>(&frame[PREFIX_BYTES..]).expect("it is whole"), request);
+    assert_eq!(decode::<PeerRequest>(&frame[PREFIX_BYTES..]).expect("it is complete"), request);
 }
 
 #[test]
-fn what_this_version_does_not_know_is_refused() {
+fn unknown_variants_and_trailing_bytes_are_rejected() {
     let mut longer = encode(&PeerRequest::Probe).to_vec();
     longer.push(0);
     assert!(decode::<PeerRequest>(&longer[PREFIX_BYTES..]).is_err());
@@ -63,16 +63,16 @@
 }
 
 #[test]
-fn every_reason_travels() {
+fn every_refusal_reason_survives_encoding_and_decoding() {
     for reason in RefusalReason::ALL {
         let refusal = Refusal { reason, retry_after_ms: 9, slowness_percent: 400 };
         let answer = PeerAnswer::Refused(refusal);
-        assert_eq!(decode::<PeerAnswer>(&encode(&answer)[PREFIX_BYTES..]).expect("it is whole"), answer);
+        assert_eq!(decode::<PeerAnswer>(&encode(&answer)[PREFIX_BYTES..]).expect("it is complete"), answer);
     }
 }
 
 #[test]
-fn a_hint_costs_no_more_than_the_budget_is_charged() {
+fn a_hint_is_no_larger_than_the_budget_accounts_for() {
     let largest = Hint {
         incarnation: u32::MAX,
         in_flight: u32::MAX,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_is_carried_over_a_return_fits_into_a_question() {
+fn the_largest_corrections_fit_into_a_request() {
     let longest_name = |number: usize| format!("{number:0>63}");
     let departed = |number: usize| DepartedHost {
         start: HostStart {
@@ -100,20 +100,20 @@
         },
         departed: Departed::Gone,
     };
-    let word = |number: usize| EvacuationWord { data_centre: longest_name(number), is_evacuated: true };
-    let news = CarriedNews {
+    let evacuation = |number: usize| EvacuationWord { data_centre: longest_name(number), is_evacuated: true };
+    let corrections = CarriedNews {
         era: u64::MAX,
         age_ms: u64::MAX,
         departed: (0..WORDS_MAX).map(departed).collect(),
         unlisted: "a host of a megabyte ".repeat(50_000),
-        evacuations: (0..EVACUATED_MAX).map(word).collect(),
+        evacuations: (0..EVACUATED_MAX).map(evacuation).collect(),
     };
-    let question = encode(&PeerRequest::CompareCarried(Some(news.in_question())));
-    assert!(question.len() <= HEAD_BYTES_MAX, "{} bytes", question.len());
+    let request = encode(&PeerRequest::CompareCarried(Some(corrections.in_question())));
+    assert!(request.len() <= HEAD_BYTES_MAX, "{} bytes", request.len());
 }
 
 #[test]
-fn any_bytes_are_read_without_a_panic_or_much_memory() {
+fn arbitrary_bytes_are_decoded_without_a_panic_or_much_memory() {
     bolero::check!().with_type::<Vec<u8>>().with_iterations(20_000).for_each(|bytes| {
         let _ = decode::<PeerRequest>(bytes);
         let _ = decode::<PeerAnswer>(bytes);
@@ -121,13 +121,13 @@
 }
 
 #[test]
-fn a_right_message_with_any_byte_changed_is_read_without_a_panic() {
+fn a_valid_message_with_a_changed_byte_is_decoded_without_a_panic() {
     let item = PullItem {
         name: DocumentName::Team("a".to_owned()),
         known_version: Version::new(3),
         known_checksum: 4,
     };
-    let news = CrashNews {
+    let report = CrashNews {
         digest: RequestDigest { whole: 1, head: 2 },
         service: "t/s".to_owned(),
         ends: vec![EndNews { id: 3, age_ms: 4 }],
@@ -137,8 +137,8 @@
     let messages = [
         PeerRequest::Attempt(head()),
         PeerRequest::Pull(vec![item]),
-        PeerRequest::CrashNews(vec![news.clone()]),
-        PeerRequest::CompareCrashes(vec![news]),
+        PeerRequest::CrashNews(vec![report.clone()]),
+        PeerRequest::CompareCrashes(vec![report]),
     ];
     bolero::check!().with_type::<(usize, usize, u8)>().with_iterations(20_000).for_each(
         |(which, at, byte)| {
--- a/crates/laurelstall_peer/tests/on_go.rs
+++ b/crates/laurelstall_peer/tests/on_go.rs
@@ -1,4 +1,5 @@
-//! Attempts whose body is the word to go: what is proved when the guard's node dies.
+//! Attempts whose body is buffered by the guard before the target receives it: what is known if the guard's
+//! node dies.
 
 use futures_util::future::{BoxFuture, FutureExt};
 use http::{HeaderMap, StatusCode};
@@ -31,21 +32,21 @@
     time::{Duration, timeout},
 };
 
-/// What the guard of the test does with attempts.
+/// How the guard of the test treats attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Manner {
-    /// It makes them wait for good.
-    Wait,
-    /// It gives them a slot and runs them once their body is there, for good.
-    Run,
-    /// It runs them and answers.
+enum GuardMode {
+    /// It never admits them.
+    Queue,
+    /// It admits them and receives their body, but never answers.
+    Hang,
+    /// It admits and answers them.
     Answer,
 }
 
 #[derive(Debug)]
 struct TestGuard {
-    manner: Manner,
-    asked: Notify,
+    mode: GuardMode,
+    received: Notify,
     ran: Notify,
     bytes: AtomicU32,
 }
@@ -53,18 +54,18 @@
 impl AttemptHandler for TestGuard {
     fn attempt(&self, attempt: Attempt, mut admission: Admission) -> BoxFuture<'_, AttemptAnswer> {
         async move {
-            self.asked.notify_one();
-            if self.manner == Manner::Wait {
+            self.received.notify_one();
+            if self.mode == GuardMode::Queue {
                 std::future::pending::<()>().await;
             }
             admission.grant();
-            let AttemptBody::Stream(body) = attempt.body else { panic!("the body is the word to go") };
+            let AttemptBody::Stream(body) = attempt.body else { panic!("the body follows after admission") };
             let Ok(body) = body.collect().await else {
                 return AttemptAnswer::new(AttemptOutcome::NotRun(Refusal::new(RefusalReason::NoConnection)));
             };
             self.bytes.store(body.to_bytes().len() as u32, Ordering::Relaxed);
             self.ran.notify_one();
-            if self.manner == Manner::Run {
+            if self.mode == GuardMode::Hang {
                 std::future::pending::<()>().await;
             }
             let body = Empty::new().map_err(|never| match never {}).boxed_unsync();
@@ -89,26 +90,26 @@
     }
 }
 
-/// A node that can be killed.
+/// A node whose server can be aborted.
 struct TestNode {
     address: SocketAddr,
     guard: Arc<TestGuard>,
-    serving: JoinHandle<()>,
+    server_task: JoinHandle<()>,
 }
 
 impl TestNode {
-    async fn start(manner: Manner) -> Self {
+    async fn start(mode: GuardMode) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
         let address = listener.local_addr().expect("it listens");
         let guard = Arc::new(TestGuard {
-            manner,
-            asked: Notify::new(),
+            mode,
+            received: Notify::new(),
             ran: Notify::new(),
             bytes: AtomicU32::new(0),
         });
         let server = PeerServer::new(guard.clone(), Arc::new(Meter::default()));
-        let serving = tokio::spawn(server.serve(listener));
-        Self { address, guard, serving }
+        let server_task = tokio::spawn(server.serve(listener));
+        Self { address, guard, server_task }
     }
 
     fn attempt(&self, budget: Duration) -> JoinHandle<AttemptAnswer> {
@@ -149,26 +150,26 @@
     Attempt { head, body: AttemptBody::Whole("order".into()) }
 }
 
-/// Longest wait for what must happen.
+/// Maximum time to wait for an event.
 const WAIT_MAX: Duration = Duration::from_secs(20);
 
-async fn ended(calling: JoinHandle<AttemptAnswer>) -> AttemptOutcome {
-    timeout(WAIT_MAX, calling).await.expect("it ends").expect("no panic").outcome
+async fn ended(call: JoinHandle<AttemptAnswer>) -> AttemptOutcome {
+    timeout(WAIT_MAX, call).await.expect("the call ends in time").expect("no panic").outcome
 }
 
 #[tokio::test]
-async fn a_call_that_only_waits_when_the_node_dies_has_not_run() {
-    let node = TestNode::start(Manner::Wait).await;
-    let calling = node.attempt(WAIT_MAX);
-    node.guard.asked.notified().await;
-    node.serving.abort();
-    let outcome = ended(calling).await;
+async fn a_queued_call_has_not_run_when_the_node_dies() {
+    let node = TestNode::start(GuardMode::Queue).await;
+    let call = node.attempt(WAIT_MAX);
+    node.guard.received.notified().await;
+    node.server_task.abort();
+    let outcome = ended(call).await;
     assert!(matches!(outcome, AttemptOutcome::NotRun(_)), "{outcome:?}");
 }
 
 #[tokio::test]
-async fn a_call_that_only_waits_when_its_time_is_over_has_not_run() {
-    let node = TestNode::start(Manner::Wait).await;
+async fn a_queued_call_has_not_run_when_its_budget_is_spent() {
+    let node = TestNode::start(GuardMode::Queue).await;
     let outcome = ended(node.attempt(Duration::from_millis(200))).await;
     let is_proved =
         matches!(&outcome, AttemptOutcome::NotRun(refusal) if refusal.reason == RefusalReason::Deadline);
@@ -176,18 +177,18 @@
 }
 
 #[tokio::test]
-async fn a_call_that_runs_when_the_node_dies_is_unknown() {
-    let node = TestNode::start(Manner::Run).await;
-    let calling = node.attempt(WAIT_MAX);
+async fn a_running_call_is_unknown_when_the_node_dies() {
+    let node = TestNode::start(GuardMode::Hang).await;
+    let call = node.attempt(WAIT_MAX);
     node.guard.ran.notified().await;
-    node.serving.abort();
-    let outcome = ended(calling).await;
+    node.server_task.abort();
+    let outcome = ended(call).await;
     assert!(matches!(outcome, AttemptOutcome::Unknown(_)), "{outcome:?}");
 }
 
 #[tokio::test]
-async fn with_the_word_to_go_comes_the_whole_body() {
-    let node = TestNode::start(Manner::Answer).await;
+async fn after_admission_the_guard_receives_the_whole_body() {
+    let node = TestNode::start(GuardMode::Answer).await;
     let outcome = ended(node.attempt(WAIT_MAX)).await;
     assert!(matches!(outcome, AttemptOutcome::Answered { .. }), "{outcome:?}");
     assert_eq!(node.guard.bytes.load(Ordering::Relaxed), 5);
--- a/crates/laurelstall_peer/tests/partners.rs
+++ b/crates/laurelstall_peer/tests/partners.rs
@@ -1,4 +1,4 @@
-//! Who reads and who exchanges with whom.
+//! Choice of readers and partners.
 
 use laurelstall_config::fleet::{Fleet, Host, HostState};
 use laurelstall_peer::partners::{hosts_ahead, pick_partners};
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn each_data_centre_has_its_readers_whatever_the_size() {
+fn each_data_centre_has_its_readers_for_any_fleet_size() {
     for hosts in [8, 80, 550] {
         assert_eq!(readers(&fleet(hosts)).len(), 8, "{hosts} hosts");
     }
 }
 
 #[test]
-fn a_host_that_leaves_moves_one_reader_at_most() {
+fn a_host_that_leaves_changes_one_reader_at_most() {
     let mut fleet = fleet(80);
     let before = readers(&fleet).into_iter().collect::<HashSet<_>>();
     let leaving = before.iter().next().cloned().expect("there are readers");
@@ -38,34 +38,34 @@
 }
 
 #[test]
-fn partners_lie_in_both_near_and_far_data_centres_and_never_are_oneself() {
+fn partners_are_local_and_remote_nodes_but_never_the_node_itself() {
     let fleet = fleet(80);
     for seed in 0..50 {
         let partners = pick_partners(&fleet, "h-0", "dc-0", 6, seed);
-        let near = partners.iter().filter(|host| host.data_centre == "dc-0").count();
-        assert_eq!((partners.len(), near), (6, 5));
+        let local = partners.iter().filter(|host| host.data_centre == "dc-0").count();
+        assert_eq!((partners.len(), local), (6, 5));
         assert!(partners.iter().all(|host| host.name != "h-0"));
     }
 }
 
 #[test]
-fn news_reaches_all_550_hosts_in_few_steps() {
+fn updates_reach_all_550_hosts_in_few_hops() {
     let fleet = fleet(550);
     let partners = |n: usize| pick_partners(&fleet, &format!("h-{n}"), &format!("dc-{}", n % 4), 6, n as u64);
-    let mut steps = vec![None; 550];
-    steps[0] = Some(0);
+    let mut hops = vec![None; 550];
+    hops[0] = Some(0);
     let mut queue = VecDeque::from([0]);
     while let Some(at) = queue.pop_front() {
         for partner in partners(at) {
             let next = partner.node_address.port() as usize - 1_000;
-            if steps[next].is_none() {
-                steps[next] = steps[at].map(|step| step + 1);
+            if hops[next].is_none() {
+                hops[next] = hops[at].map(|hop| hop + 1);
                 queue.push_back(next);
             }
         }
     }
-    // Who is nobody's partner finds out by comparing versions itself.
-    let missed = steps.iter().filter(|step| step.is_none()).count();
+    // Nodes that are nobody's partner learn of versions through their own exchanges.
+    let missed = hops.iter().filter(|hop| hop.is_none()).count();
     assert!(missed <= 6, "{missed}");
-    assert!(steps.iter().flatten().max() <= Some(&8));
+    assert!(hops.iter().flatten().max() <= Some(&8));
 }
--- a/crates/laurelstall_peer/tests/reader_pace.rs
+++ b/crates/laurelstall_peer/tests/reader_pace.rs
@@ -1,4 +1,4 @@
-//! What readers of a platform cost it where something changes all the time, as in a large fleet.
+//! Load of the readers on a platform whose documents change all the time.
 
 mod support;
 
@@ -6,15 +6,15 @@
 use support::mesh::Mesh;
 use tokio::time::{Duration, sleep};
 
-/// Changes, one each tenth of a second.
+/// Number of changes, one every 100 ms.
 const CHANGES: u64 = 200;
-/// Calls that a reader makes for a change as the platform of the mesh counts them.
+/// Calls of a reader per change, as counted by the simulated platform.
 const CALLS_PER_CHANGE: u64 = 3;
-/// Calls of one reader in each of three data centres, and a tenth of that for the others.
+/// Calls of one reader in each of three data centres, and 10 % of that for all other nodes.
 const CALLS_MAX: u64 = CHANGES * CALLS_PER_CHANGE * 3 * 11 / 10;
 
 #[tokio::test(start_paused = true)]
-async fn one_reader_of_each_data_centre_follows_each_change_and_all_nodes_have_it_at_once() {
+async fn one_reader_per_data_centre_follows_each_change_and_all_nodes_receive_it_soon() {
     let mesh = Mesh::start(18, 1).await;
     mesh.platform.publish(1);
     sleep(Duration::from_secs(10)).await;
