--- a/crates/laurelstall_peer/tests/recent_fleet.rs
+++ b/crates/laurelstall_peer/tests/recent_fleet.rs
@@ -1,4 +1,4 @@
-//! What is carried over a return of the platform from an older copy, with time standing still.
+//! Corrections to the list of hosts after a restore of the platform, at simulated times.
 
 use laurelstall_config::fleet::{Fleet, FleetTarget, Host, HostState};
 use laurelstall_peer::recent_fleet::{REGISTER_GRACE, RecentFleet};
@@ -6,10 +6,10 @@
 use std::{collections::BTreeMap, sync::Arc};
 use tokio::time::{Duration, Instant};
 
-/// Longer than a copy's word is corrected.
+/// Longer than corrections apply.
 const LONG: Duration = Duration::from_secs(40);
 
-/// One target on a host of its own.
+/// A target on a host of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Entry {
     name: &'static str,
@@ -47,7 +47,7 @@
     })
 }
 
-/// A node's view: the list that it follows, as time goes on.
+/// The list of hosts that a node follows over time.
 struct View {
     recent: RecentFleet,
     now: Instant,
@@ -61,26 +61,26 @@
 
     fn take(&mut self, era: u64, entries: &[Entry], evacuated: &[&str]) {
         self.recent.take(list(entries, evacuated), era, &self.in_force, self.now);
-        self.look();
+        self.update();
     }
 
-    fn look(&mut self) {
+    fn update(&mut self) {
         self.in_force = self.recent.fleet(self.now);
     }
 
     fn wait(&mut self, time: Duration) {
         self.now += time;
-        self.look();
+        self.update();
     }
 
-    fn tell(&self, other: &mut Self) {
-        if let Some(news) = self.recent.news(self.now) {
-            other.recent.take_news(&news, other.now);
-            other.look();
+    fn send_corrections(&self, other: &mut Self) {
+        if let Some(corrections) = self.recent.news(self.now) {
+            other.recent.take_news(&corrections, other.now);
+            other.update();
         }
     }
 
-    /// The targets in service.
+    /// Names of the live targets in the list.
     fn serving(&self) -> Vec<&str> {
         let targets = self.in_force.targets.iter();
         let is_live = |target: &&FleetTarget| {
@@ -93,16 +93,16 @@
 }
 
 #[test]
-fn what_had_left_does_not_come_back_by_the_copy() {
+fn departed_targets_do_not_come_back_with_the_copy() {
     let mut view = View::new();
     view.take(0, &[live("a"), live("b"), live("c")], &[]);
     view.take(0, &[live("a"), leaving("b"), live("c")], &[]);
     view.take(0, &[live("a"), leaving("b")], &[]);
     view.take(1, &[live("a"), live("b"), live("c")], &[]);
     assert_eq!(view.serving(), ["a"]);
-    assert!(view.in_force.host("h-b").is_some(), "its node goes on, and it serves what it has");
+    assert!(view.in_force.host("h-b").is_some(), "its node is still running, and finishes its calls");
     assert!(view.in_force.host("h-c").is_none());
-    // The list goes on to tell what becomes of them.
+    // Later lists still apply to the kept hosts.
     view.take(1, &[live("a"), leaving("b"), live("c")], &[]);
     view.wait(Duration::from_secs(5));
     view.take(1, &[live("a")], &[]);
@@ -112,17 +112,17 @@
 }
 
 #[test]
-fn another_start_of_what_had_left_is_taken_at_once() {
+fn a_later_start_of_a_departed_target_is_listed_at_once() {
     let mut view = View::new();
     view.take(0, &[live("a"), live("b")], &[]);
     view.take(0, &[leaving("a")], &[]);
-    let again = |name| Entry { started_unix_ms: 8, ..live(name) };
-    view.take(1, &[again("a"), again("b")], &[]);
+    let restarted = |name| Entry { started_unix_ms: 8, ..live(name) };
+    view.take(1, &[restarted("a"), restarted("b")], &[]);
     assert_eq!(view.serving(), ["a", "b"]);
 }
 
 #[test]
-fn what_is_gone_and_writes_its_entry_again_is_back() {
+fn a_removed_target_that_registers_again_is_listed() {
     let mut view = View::new();
     view.take(0, &[live("a"), live("b")], &[]);
     view.take(0, &[live("a")], &[]);
@@ -134,14 +134,14 @@
 }
 
 #[test]
-fn what_the_copy_lacks_stays_for_its_time() {
+fn targets_missing_from_the_copy_are_kept_for_the_grace_period() {
     let mut view = View::new();
     view.take(3, &[live("a")], &[]);
     view.take(3, &[live("a"), live("b"), live("c")], &[]);
     view.take(4, &[live("a")], &[]);
     assert_eq!(view.serving(), ["a", "b", "c"]);
     view.take(4, &[live("a"), live("b")], &[]);
-    // What was listed in the new era is followed there, also when it goes.
+    // A host that was listed in the new era is no longer kept.
     view.take(4, &[live("a")], &[]);
     assert_eq!(view.serving(), ["a", "c"]);
     view.wait(REGISTER_GRACE);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn evacuations_stay_as_they_were_said_last() {
+fn evacuations_stay_as_last_set_before_the_restore() {
     let mut view = View::new();
     view.take(0, &[live("a")], &["south"]);
     view.take(0, &[live("a")], &["north"]);
@@ -157,7 +157,7 @@
     assert_eq!(view.in_force.evacuated, ["north"]);
     view.take(1, &[live("a"), live("b")], &["south"]);
     assert_eq!(view.in_force.evacuated, ["north"]);
-    // What is said after the return counts at once.
+    // Changes after the restore apply immediately.
     view.take(1, &[live("a"), live("b")], &["north"]);
     assert_eq!(view.in_force.evacuated, ["north"]);
     view.take(1, &[live("a"), live("b")], &[]);
@@ -165,12 +165,12 @@
 }
 
 #[test]
-fn after_its_time_the_list_holds_as_it_is_published() {
+fn corrections_expire() {
     let mut view = View::new();
     view.take(0, &[live("a"), live("b")], &["south"]);
     view.take(0, &[leaving("a")], &["south"]);
     view.take(1, &[live("a"), live("b")], &[]);
-    let next = view.recent.next_change(view.now).expect("something is carried");
+    let next = view.recent.next_change(view.now).expect("corrections apply");
     assert_eq!(next, view.now + REGISTER_GRACE);
     view.wait(LONG);
     assert_eq!(view.serving(), ["a", "b"]);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_node_that_starts_after_the_return_is_told_what_the_others_carry() {
+fn a_node_that_starts_after_the_restore_receives_the_corrections_of_others() {
     let (mut old, mut new) = (View::new(), View::new());
     old.take(0, &[live("a"), live("b"), live("c")], &["south"]);
     old.take(0, &[live("a"), leaving("b"), live("d")], &["south"]);
@@ -190,7 +190,7 @@
     new.take(1, &copy, &[]);
     assert_eq!(new.serving(), ["a", "b", "c"], "it knows nothing but the copy");
     assert_ne!(old.recent.hash(old.now), new.recent.hash(new.now));
-    old.tell(&mut new);
+    old.send_corrections(&mut new);
     assert_eq!(old.recent.hash(old.now), new.recent.hash(new.now));
     assert_eq!(old.serving(), ["a", "d"]);
     assert_eq!(new.serving(), old.serving());
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn news_of_another_era_or_of_long_ago_count_for_nothing() {
+fn corrections_of_another_era_or_expired_ones_are_ignored() {
     let mut old = View::new();
     old.take(0, &[live("a"), live("b")], &[]);
     old.take(0, &[leaving("a")], &[]);
@@ -208,18 +208,18 @@
     let mut other = View::new();
     other.now = old.now;
     other.take(2, &[live("a"), live("b")], &[]);
-    old.tell(&mut other);
+    old.send_corrections(&mut other);
     assert_eq!(other.serving(), ["a", "b"]);
     let mut late = View::new();
     old.now += LONG;
     late.now = old.now;
     late.take(1, &[live("a"), live("b")], &[]);
-    old.tell(&mut late);
+    old.send_corrections(&mut late);
     assert_eq!(late.serving(), ["a", "b"]);
 }
 
 #[test]
-fn two_returns_in_a_row_forget_nothing() {
+fn two_restores_in_a_row_lose_no_corrections() {
     let mut view = View::new();
     view.take(0, &[live("a"), live("b"), live("c")], &[]);
     view.take(0, &[live("a"), live("b")], &[]);
@@ -230,26 +230,26 @@
 }
 
 #[test]
-fn what_a_node_was_told_it_carries_over_the_next_return() {
+fn received_corrections_survive_the_next_restore() {
     let (mut old, mut new) = (View::new(), View::new());
     old.take(0, &[live("a"), live("b")], &["south"]);
     old.take(0, &[live("a"), leaving("b")], &["south"]);
     old.take(1, &[live("a"), live("b")], &[]);
     new.now = old.now;
     new.take(1, &[live("a"), live("b")], &[]);
-    old.tell(&mut new);
+    old.send_corrections(&mut new);
     new.take(2, &[live("a"), live("b")], &[]);
     assert_eq!(new.serving(), ["a"]);
     assert_eq!(new.in_force.evacuated, ["south"]);
 }
 
-/// What targets said last, in a random history, against what nodes follow.
+/// In random histories, no node follows a target that has departed.
 #[test]
-fn no_word_is_forgotten_in_random_histories() {
+fn no_departure_is_lost_in_random_histories() {
     const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
     for seed in 0..400 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        // What the store holds, and what had been said and acknowledged, whatever the store has lost of it.
+        // Entries of the store, and all departures that it had acknowledged, even if a restore lost them.
         let mut stored = BTreeMap::<&str, Entry>::new();
         let mut departed = BTreeMap::<(&str, u64), ()>::new();
         let mut starts = 1;
@@ -280,7 +280,7 @@
                     era += 1;
                 }
                 _ => {
-                    // A node is restarted, and asks another one once it has the list.
+                    // A node is restarted, and receives corrections after its first list.
                     let restarted = rng.random_range(1..nodes.len());
                     let now = nodes[0].now;
                     nodes[restarted] = View { now, ..View::new() };
@@ -293,13 +293,13 @@
             }
             let [first, others @ ..] = &mut nodes;
             for other in others {
-                first.tell(other);
+                first.send_corrections(other);
                 let serving = other.in_force.targets.iter().filter(|target| {
                     other.in_force.host(&target.host).is_some_and(|host| host.state == HostState::Live)
                 });
                 for target in serving {
                     let is_departed = departed.contains_key(&(target.name.as_str(), target.started_unix_ms));
-                    assert!(!is_departed, "seed {seed}, step {step}: {} had left", target.name);
+                    assert!(!is_departed, "seed {seed}, step {step}: {} had departed", target.name);
                 }
             }
         }
--- a/crates/laurelstall_peer/tests/spreading.rs
+++ b/crates/laurelstall_peer/tests/spreading.rs
@@ -1,4 +1,4 @@
-//! A node's part in spreading over hours of a platform that is away, with time standing still.
+//! Replication of a node while the platform is away or other nodes are unreachable, with paused time.
 
 use futures_util::future::{BoxFuture, FutureExt, join_all};
 use laurelstall_config::{
@@ -50,13 +50,13 @@
     }
 }
 
-/// Age of a return of the platform up to which registrations may have run out, in ms.
-const LAPSE_AGE_MAX_MS: u64 = 2_000;
+/// Age of an outage's end up to which registrations may have expired, in ms.
+const EXPIRY_AGE_MAX_MS: u64 = 2_000;
 
-/// Takes every document, and counts how often registrations may have run out.
+/// Accepts every document, and counts how often registrations may have expired.
 #[derive(Debug, Default)]
 struct AcceptAll {
-    lapses: AtomicUsize,
+    expiries: AtomicUsize,
 }
 
 impl Acceptor for AcceptAll {
@@ -65,8 +65,8 @@
     }
 
     fn expect_lapsed(&self, returned_age_ms: u64) {
-        let count = usize::from(returned_age_ms < LAPSE_AGE_MAX_MS);
-        self.lapses.fetch_add(count, Ordering::Relaxed);
+        let count = usize::from(returned_age_ms < EXPIRY_AGE_MAX_MS);
+        self.expiries.fetch_add(count, Ordering::Relaxed);
     }
 }
 
@@ -83,12 +83,12 @@
     }
 }
 
-/// A platform with one document, which can be away.
+/// A simulated platform with one document, which can be away.
 #[derive(Debug, Default)]
 struct OneDocument {
     is_away: AtomicBool,
     answers_at_once: AtomicBool,
-    knows_stale_reads: AtomicBool,
+    supports_stale_reads: AtomicBool,
     stale_reads: AtomicUsize,
 }
 
@@ -116,7 +116,7 @@
 
     fn read_stale(&self) -> BoxFuture<'_, Result<Option<StaleListing>, PlatformError>> {
         async move {
-            if !self.knows_stale_reads.load(Ordering::Relaxed) {
+            if !self.supports_stale_reads.load(Ordering::Relaxed) {
                 return Ok(None);
             }
             self.check()?;
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn through_an_hour_without_platform_and_peers_the_configuration_stays_and_reads_are_few() {
+async fn an_hour_without_platform_and_peers_keeps_the_configuration_and_costs_few_reads() {
     let (fleet, platform) = (fleet(100), Arc::new(OneDocument::default()));
     let nodes = (0..100).map(|number| node(&fleet, number, &platform)).collect::<Vec<_>>();
     for node in &nodes {
@@ -190,9 +190,9 @@
     sleep(HOUR).await;
     let spent = nodes.iter().map(|node| calls(node)).sum::<u64>() - before;
     assert!(nodes.iter().all(|node| node.store().version(&DocumentName::System) == Version::new(1)));
-    // Two readers that try each 10 s or so, and 16 fallback reads a minute in the whole fleet.
+    // Two readers that try every 10 s or so, and 16 fallback reads per minute in the whole fleet.
     assert!(spent < 3_000, "{spent} calls in an hour");
-    assert!(spent > 500, "{spent} calls: nobody looks for the platform any more");
+    assert!(spent > 500, "{spent} calls: too few attempts to reach the platform");
     platform.is_away.store(false, Ordering::Relaxed);
     sleep(Duration::from_secs(120)).await;
     let is_fresh = nodes.iter().filter(|node| node.platform_read_age_ms() < 60_000).count();
@@ -200,7 +200,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_platform_whose_watches_do_not_wait_is_not_called_without_pause() {
+async fn watches_that_do_not_wait_are_not_repeated_without_pause() {
     let (fleet, platform) = (fleet(2), Arc::new(OneDocument::default()));
     platform.answers_at_once.store(true, Ordering::Relaxed);
     let node = node(&fleet, 0, &platform);
@@ -211,7 +211,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_to_the_platform_do_not_grow_with_the_fleet() {
+async fn platform_calls_do_not_grow_with_the_fleet() {
     let mut spent = Vec::new();
     for hosts in [50, 200] {
         let (fleet, platform) = (fleet(hosts), Arc::new(OneDocument::default()));
@@ -224,13 +224,14 @@
         sleep(HOUR).await;
         spent.push(nodes.iter().map(|node| calls(node)).sum::<u64>() - before);
     }
-    // Cut off from each other, all but the readers fall back; four times the hosts, same calls.
+    // As no node can reach another one, all but the readers make fallback reads; their number is
+    // independent of the fleet's size.
     let ratio = spent[1] as f64 / spent[0] as f64;
     assert!((0.7..1.3).contains(&ratio), "{spent:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn news_of_a_platform_read_travels_with_exchanges() {
+async fn exchanges_distribute_the_time_of_a_platform_read() {
     let (fleet, platform) = (fleet(2), Arc::new(OneDocument::default()));
     let node = node(&fleet, 0, &platform);
     assert!(node.platform_read_age_ms() > 1_000_000);
@@ -248,12 +249,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_seed_does_not_hold_up_a_node_whose_platform_answers() {
+async fn a_silent_seed_does_not_delay_a_node_whose_platform_answers() {
     let (fleet, platform) = (fleet(2), Arc::new(OneDocument::default()));
     let silent = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let silent = silent.local_addr().expect("it listens");
     let own = ([127, 0, 0, 1], 1_000).into();
-    // A node that is a seed itself reads at once; another one hears its seeds for a moment.
+    // A node that is a seed itself reads at once; others wait for their seeds for a moment.
     for (seeds, most_ms) in [(vec![silent, own], 20), (vec![silent], 200)] {
         let node = node_with(&fleet, 0, &platform, seeds, Arc::new(Open), Arc::default());
         let started = Instant::now();
@@ -264,7 +265,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn before_any_fleet_is_known_only_seeds_watch_the_platform() {
+async fn only_seeds_watch_the_platform_before_a_fleet_is_known() {
     let (fleet, platform) = (fleet(0), Arc::new(OneDocument::default()));
     platform.answers_at_once.store(true, Ordering::Relaxed);
     let seed = ([127, 0, 0, 1], 1_000).into();
@@ -279,11 +280,11 @@
     assert!((1..=3).contains(&calls(&nodes[1])), "{} calls of the other one", calls(&nodes[1]));
 }
 
-/// Starts 300 nodes at once of which three are seeds, while no seed can be asked, and says how many plain calls
-/// and stale reads their joining took, and the longest time in ms.
-async fn start_of_all(seeds: Vec<SocketAddr>, link: Arc<dyn Link>) -> (u64, usize, u128) {
+/// Starts 300 nodes at once while their seeds are unreachable. Returns the number of platform calls without
+/// stale reads, the number of stale reads, and the longest time to join in ms.
+async fn start_whole_fleet(seeds: Vec<SocketAddr>, link: Arc<dyn Link>) -> (u64, usize, u128) {
     let (fleet, platform) = (fleet(300), Arc::new(OneDocument::default()));
-    platform.knows_stale_reads.store(true, Ordering::Relaxed);
+    platform.supports_stale_reads.store(true, Ordering::Relaxed);
     let node = |number| node_with(&fleet, number, &platform, seeds.clone(), link.clone(), Arc::default());
     let nodes = (0..300).map(node).collect::<Vec<_>>();
     let started = Instant::now();
@@ -299,11 +300,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_start_of_the_whole_fleet_reads_the_newest_by_few_and_waits_for_no_seed() {
+async fn a_start_of_the_whole_fleet_makes_few_full_reads_and_waits_for_no_seed() {
     let own_seeds = (0..3).map(|n| SocketAddr::from(([127, 0, 0, 1], 1_000 + n))).collect::<Vec<_>>();
-    // Seeds that are dark, and seeds that are known to be gone.
+    // The unreachable seeds are nodes of the fleet, or no nodes at all.
     for seeds in [own_seeds, vec![([127, 0, 0, 1], 999).into()]] {
-        let (plain, stale, longest_ms) = start_of_all(seeds, Arc::new(AllCut)).await;
+        let (plain, stale, longest_ms) = start_whole_fleet(seeds, Arc::new(AllCut)).await;
         assert!(plain <= 9, "{plain} plain calls");
         assert!(stale <= 300, "{stale} stale reads");
         assert!(longest_ms <= 500, "{longest_ms} ms");
@@ -311,14 +312,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_hears_from_nobody_after_a_stale_read_reads_the_newest_itself() {
+async fn an_isolated_node_confirms_its_stale_read_by_a_full_read() {
     let (fleet, platform) = (fleet(300), Arc::new(OneDocument::default()));
-    platform.knows_stale_reads.store(true, Ordering::Relaxed);
+    platform.supports_stale_reads.store(true, Ordering::Relaxed);
     let seeds = vec![([127, 0, 0, 1], 999).into()];
     let node = node_with(&fleet, 250, &platform, seeds, Arc::new(AllCut), Arc::default());
     node.join().await;
     tokio::spawn(node.clone().run());
-    assert!(node.platform_read_age_ms() > 1_000_000, "a stale read is no news of the platform");
+    assert!(node.platform_read_age_ms() > 1_000_000, "a stale read does not count as a read");
     sleep(Duration::from_millis(2_500)).await;
     assert!(node.platform_read_age_ms() < 2_500, "{}", node.platform_read_age_ms());
     let calls_then = calls(&node);
@@ -327,35 +328,35 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_stale_read_mixed_is_in_force_but_given_to_nobody() {
+async fn an_inconsistent_document_is_active_but_not_sent_to_others() {
     let (fleet, platform) = (fleet(2), Arc::new(OneDocument::default()));
-    platform.knows_stale_reads.store(true, Ordering::Relaxed);
+    platform.supports_stale_reads.store(true, Ordering::Relaxed);
     let seeds = vec![([127, 0, 0, 1], 999).into()];
     let node = node_with(&fleet, 0, &platform, seeds, Arc::new(AllCut), Arc::default());
     node.join().await;
     assert_eq!(node.store().versions(), [(DocumentName::System, Version::new(1))]);
-    // A whole document replaces it unless it is older.
+    // A consistent document replaces it unless it is older.
     let whole = |version| Document { name: DocumentName::Fleet, version, text: format!("whole {version}") };
     assert!(!node.take(whole(Version::NONE)));
-    assert!(node.take(whole(Version::new(1))), "the same version from a node that read it whole");
+    assert!(node.take(whole(Version::new(1))), "the same version, read consistently");
     assert_eq!(node.store().version(&DocumentName::Fleet), Version::new(1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_end_of_an_outage_is_told_once_and_short_ones_are_none() {
+async fn the_end_of_an_outage_is_reported_once_and_short_outages_are_ignored() {
     let (fleet, platform, acceptor) = (fleet(1), Arc::new(OneDocument::default()), Arc::default());
     let node = node_with(&fleet, 0, &platform, Vec::new(), Arc::new(AllCut), Arc::clone(&acceptor));
-    let lapses = || acceptor.lapses.load(Ordering::Relaxed);
+    let expiries = || acceptor.expiries.load(Ordering::Relaxed);
     node.join().await;
     tokio::spawn(node.clone().run());
     sleep(Duration::from_secs(45)).await;
-    assert_eq!(lapses(), 0, "nothing happened");
+    assert_eq!(expiries(), 0, "nothing happened");
     platform.is_away.store(true, Ordering::Relaxed);
     sleep(Duration::from_secs(60)).await;
     platform.is_away.store(false, Ordering::Relaxed);
     sleep(Duration::from_secs(60)).await;
-    assert_eq!(lapses(), 1, "it was away for long, and is back");
-    let news = Exchange {
+    assert_eq!(expiries(), 1, "a long outage has ended");
+    let status = Exchange {
         versions_hash: 1,
         platform_read_age_ms: 0,
         platform_reads_from_age_ms: 0,
@@ -364,20 +365,17 @@
         carried_hash: 0,
         documents_age_ms: 0,
     };
-    node.answer_exchange(&news);
-    assert_eq!(lapses(), 1, "another node's word of the same return");
-    let news = Exchange { platform_return_age_ms: Some(10), ..news };
-    node.answer_exchange(&news);
-    assert_eq!(lapses(), 2, "another node's word of a later one");
+    node.answer_exchange(&status);
+    assert_eq!(expiries(), 1, "another node's report of the same end");
+    let status = Exchange { platform_return_age_ms: Some(10), ..status };
+    node.answer_exchange(&status);
+    assert_eq!(expiries(), 2, "another node's report of a later end");
 }
 
-// A host that alone had no way to the platform and to other nodes told all of them, once it was back, that the platform
-// had been away, since it had heard of no read itself. They had read it all the while, and still kept targets that left
-// for two seconds, as long as a target that left may be called. In a fleet of 295 hosts whose platform always answered,
-// one node wrote `platform: regained after 3 failed reads`, and all 295 wrote `targets are missing from the list after the
-// platform was away: kept for now`, 3246 times in three seconds.
+// A node that was partitioned mistakes its own outage for the platform's. Other nodes believed it although
+// they had read the platform all the time, and kept targets that had left.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_was_cut_off_alone_is_not_believed_that_the_platform_was_away() {
+async fn an_outage_reported_by_a_partitioned_node_is_ignored() {
     let (fleet, platform, acceptor) = (fleet(300), Arc::new(OneDocument::default()), Arc::default());
     let node = node_with(&fleet, 250, &platform, Vec::new(), Arc::new(AllCut), Arc::clone(&acceptor));
     let reads = Exchange {
@@ -395,13 +393,13 @@
     }
     let back = Exchange { platform_read_age_ms: 20, platform_return_age_ms: Some(20), ..reads };
     node.answer_exchange(&back);
-    assert_eq!(acceptor.lapses.load(Ordering::Relaxed), 0, "this node heard of reads all the while");
+    assert_eq!(acceptor.expiries.load(Ordering::Relaxed), 0, "this node knows of reads in that time");
 }
 
-// A node that has just started hears of reads from before its start. It told them on as read without an outage for ever, and
-// so talked nodes that did not know it yet out of a true return of the platform.
+// A new node learns of reads before its own start. It reported them without their first read, and other
+// nodes then ignored real outages.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_has_just_started_tells_reads_from_before_its_start_as_they_were() {
+async fn a_new_node_forwards_reads_from_before_its_start_unchanged() {
     let (fleet, platform) = (fleet(2), Arc::new(OneDocument::default()));
     let node = node(&fleet, 0, &platform);
     sleep(Duration::from_millis(500)).await;
@@ -415,6 +413,6 @@
         documents_age_ms: 0,
     };
     let answer = node.answer_exchange(&theirs);
-    let PeerAnswer::Versions(ours, _) = answer else { panic!("it has nothing: {answer:?}") };
+    let PeerAnswer::Versions(ours, _) = answer else { panic!("the node holds no documents: {answer:?}") };
     assert!((5_000..5_100).contains(&ours.platform_reads_from_age_ms), "{ours:?}");
 }
--- a/crates/laurelstall_peer/tests/store.rs
+++ b/crates/laurelstall_peer/tests/store.rs
@@ -1,4 +1,4 @@
-//! Documents: only newer ones are taken, whole or not at all, whatever comes in whatever order.
+//! The store accepts only newer documents, in any order of arrival, and never in part.
 
 use laurelstall_config::{
     document::{Document, DocumentName, Version},
@@ -11,13 +11,13 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::sync::Mutex;
 
-/// Takes any text but "bad".
+/// Accepts any text but "bad".
 #[derive(Debug, Default)]
-struct Accepting {
+struct AcceptAllButBad {
     taken: Mutex<Vec<u64>>,
 }
 
-impl Acceptor for Accepting {
+impl Acceptor for AcceptAllButBad {
     fn accept(&self, document: &Document) -> Result<(), ConfigError> {
         let mut check = Checker::new("test", &document.text);
         check.ensure(document.text != "bad", "text", "is bad");
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn an_older_version_never_comes_back() {
-    let (mut store, acceptor) = (Store::default(), Accepting::default());
+fn an_older_version_is_never_accepted() {
+    let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
     assert!(matches!(store.offer(document(5, "five"), &acceptor), Offer::Taken));
     assert!(matches!(store.offer(document(4, "four"), &acceptor), Offer::NotNewer));
     assert!(matches!(store.offer(document(5, "five"), &acceptor), Offer::NotNewer));
@@ -42,8 +42,8 @@
 }
 
 #[test]
-fn a_bad_document_leaves_the_good_one_and_is_not_fetched_again() {
-    let (mut store, acceptor) = (Store::default(), Accepting::default());
+fn a_rejected_document_changes_nothing_and_is_not_pulled_again() {
+    let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
     store.offer(document(1, "one"), &acceptor);
     assert!(matches!(store.offer(document(2, "bad"), &acceptor), Offer::Refused(_)));
     assert_eq!(store.version(&DocumentName::System), Version::new(1));
@@ -56,7 +56,7 @@
 
 #[test]
 fn the_same_version_with_another_text_is_a_conflict_and_changes_nothing() {
-    let (mut store, acceptor) = (Store::default(), Accepting::default());
+    let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
     store.offer(document(1, "one"), &acceptor);
     assert!(matches!(store.offer(document(1, "other"), &acceptor), Offer::Conflict));
     assert_eq!(store.document(&DocumentName::System).map(|d| d.text.as_str()), Some("one"));
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn a_delta_rebuilds_the_text_and_a_wrong_base_is_found_out() {
-    let acceptor = Accepting::default();
+fn a_delta_rebuilds_the_text_and_a_wrong_base_is_detected() {
+    let acceptor = AcceptAllButBad::default();
     let (mut ahead, mut behind) = (Store::default(), Store::default());
     let long = (0..200).map(|n| format!("line {n} of a document\n")).collect::<String>();
     ahead.offer(document(1, &long), &acceptor);
@@ -76,7 +76,7 @@
     let TransferText::Delta(packed) = &transfer.text else { panic!("the base is known") };
     assert!(packed.len() * 20 < long.len(), "{} bytes", packed.len());
     assert_eq!(behind.unpack(&transfer).expect("the base fits").version, Version::new(2));
-    // Another node whose version 1 has another text: the checksum does not match.
+    // The checksum does not match for a node whose version 1 has another text.
     let mut other = Store::default();
     other.offer(document(1, &long.replace("document", "paragraph")), &acceptor);
     assert!(other.unpack(&transfer).is_err());
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn what_was_packed_once_serves_all_and_goes_with_its_version() {
-    let acceptor = Accepting::default();
+fn a_packed_text_is_cached_until_the_next_version() {
+    let acceptor = AcceptAllButBad::default();
     let (mut ahead, mut behind) = (Store::default(), Store::default());
     let text = |version: u64| format!("{}version {version}\n", "a line that stays\n".repeat(50));
     ahead.offer(document(1, &text(1)), &acceptor);
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn a_transfer_that_was_tampered_with_is_refused() {
-    let acceptor = Accepting::default();
+fn a_corrupted_transfer_is_rejected() {
+    let acceptor = AcceptAllButBad::default();
     let mut store = Store::default();
     store.offer(document(1, "some text that is long enough to be packed"), &acceptor);
     let item = PullItem { name: DocumentName::System, known_version: Version::NONE, known_checksum: 0 };
@@ -127,10 +127,10 @@
 }
 
 #[test]
-fn offers_in_any_order_end_with_the_newest_and_only_grow() {
+fn offers_in_any_order_end_with_the_newest_and_never_decrease() {
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (mut store, acceptor) = (Store::default(), Accepting::default());
+        let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
         let mut newest = 0;
         for _ in 0..500 {
             let version = rng.random_range(0..100);
--- a/crates/laurelstall_peer/tests/support/mesh.rs
+++ b/crates/laurelstall_peer/tests/support/mesh.rs
@@ -1,4 +1,4 @@
-//! Nodes on loopback that have only each other, hosts that go dark, and a platform that refuses some.
+//! A mesh of nodes on loopback, with unreachable hosts and a simulated platform that refuses some hosts.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -37,22 +37,21 @@
     time::{Duration, Instant, sleep, timeout},
 };
 
-/// Longest that the platform lets a watch wait.
+/// Maximum time that the platform lets a watch wait.
 const WATCH_WAIT: Duration = Duration::from_millis(2_500);
-/// Longest that a read waits for an answer.
+/// Time limit of a read from an unreachable platform.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest that a run is waited for.
-const LONGEST: Duration = Duration::from_secs(30);
-/// Hosts that are dark: nothing passes to or from them.
+/// Maximum time to wait for a condition.
+const WAIT_MAX: Duration = Duration::from_secs(30);
+/// A set of hosts that can change during a test.
 #[derive(Debug, Default)]
-pub struct Darkness(Mutex<HashSet<SocketAddr>>);
+pub struct HostSet(Mutex<HashSet<SocketAddr>>);
 
-impl Darkness {
-    pub fn is_dark(&self, address: SocketAddr) -> bool {
+impl HostSet {
+    pub fn contains(&self, address: SocketAddr) -> bool {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).contains(&address)
     }
 
-    /// Lets it be reached again.
     pub fn remove(&self, address: SocketAddr) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&address);
     }
@@ -65,18 +64,18 @@
 #[derive(Debug)]
 pub struct HostLink {
     own: SocketAddr,
-    darkness: Arc<Darkness>,
+    unreachable: Arc<HostSet>,
 }
 
 impl HostLink {
-    pub fn new(own: SocketAddr, darkness: Arc<Darkness>) -> Self {
-        Self { own, darkness }
+    pub fn new(own: SocketAddr, unreachable: Arc<HostSet>) -> Self {
+        Self { own, unreachable }
     }
 }
 
 impl Link for HostLink {
     fn is_cut(&self, other: SocketAddr) -> bool {
-        self.darkness.is_dark(self.own) || self.darkness.is_dark(other)
+        self.unreachable.contains(self.own) || self.unreachable.contains(other)
     }
 }
 
@@ -102,11 +101,11 @@
     }
 }
 
-/// A platform with one document, which refuses some hosts.
+/// A simulated platform with one document, which refuses some hosts.
 #[derive(Debug, Default)]
 pub struct Platform {
     version: AtomicU64,
-    refused: Darkness,
+    refused: HostSet,
     pub calls: AtomicU64,
     changed: Notify,
 }
@@ -123,39 +122,39 @@
     }
 }
 
-/// The platform as one host reaches it; what is dark hears nothing.
+/// The platform as seen by one host; an unreachable host gets no answer.
 #[derive(Debug)]
-pub struct WayToPlatform {
+pub struct HostPlatform {
     own: SocketAddr,
     platform: Arc<Platform>,
-    darkness: Arc<Darkness>,
+    unreachable: Arc<HostSet>,
 }
 
-impl WayToPlatform {
-    pub fn new(own: SocketAddr, platform: Arc<Platform>, darkness: Arc<Darkness>) -> Self {
-        Self { own, platform, darkness }
+impl HostPlatform {
+    pub fn new(own: SocketAddr, platform: Arc<Platform>, unreachable: Arc<HostSet>) -> Self {
+        Self { own, platform, unreachable }
     }
 
     async fn check(&self) -> Result<u64, PlatformError> {
         self.platform.calls.fetch_add(1, Ordering::Relaxed);
-        if self.darkness.is_dark(self.own) {
+        if self.unreachable.contains(self.own) {
             sleep(WATCH_WAIT + READ_TIMEOUT).await;
             return Err(PlatformError::Unreachable("no answer in time".to_owned()));
         }
         let version = self.platform.version.load(Ordering::Relaxed);
-        if version == 0 || self.platform.refused.is_dark(self.own) {
+        if version == 0 || self.platform.refused.contains(self.own) {
             return Err(PlatformError::Unreachable("refused".to_owned()));
         }
         Ok(version)
     }
 }
 
-impl PlatformSource for WayToPlatform {
+impl PlatformSource for HostPlatform {
     fn watch(&self, after: Option<u64>) -> BoxFuture<'_, Result<Listing, PlatformError>> {
         async move {
             let changed = self.platform.changed.notified();
             if self.check().await? == after.unwrap_or(0) {
-                // Without a change, the watch ends with what is known.
+                // A watch without a change ends with the known version.
                 let _ = timeout(WATCH_WAIT, changed).await;
             }
             let sequence = self.check().await?;
@@ -203,30 +202,30 @@
         let answer = match request {
             PeerRequest::Exchange(exchange) => self.spread.answer_exchange(&exchange),
             PeerRequest::Pull(items) => self.spread.answer_pull(&items),
-            PeerRequest::Offer(address, news, versions) => {
-                self.spread.note_offer(from, address, &news, versions);
+            PeerRequest::Offer(address, status, versions) => {
+                self.spread.note_offer(from, address, &status, versions);
                 PeerAnswer::Noted
             }
             PeerRequest::CanRead => self.spread.answer_can_read(),
-            PeerRequest::CrashNews(news) => {
-                self.spread.crashes().take_news(&news);
+            PeerRequest::CrashNews(reports) => {
+                self.spread.crashes().take_news(&reports);
                 PeerAnswer::Noted
             }
-            PeerRequest::CompareCrashes(news) => self.spread.answer_crashes(&news),
-            PeerRequest::CompareCarried(news) => self.spread.answer_carried(news.as_ref()),
+            PeerRequest::CompareCrashes(reports) => self.spread.answer_crashes(&reports),
+            PeerRequest::CompareCarried(corrections) => self.spread.answer_carried(corrections.as_ref()),
             _ => PeerAnswer::Noted,
         };
         async { answer }.boxed()
     }
 }
 
-/// Nodes on loopback that have only each other.
+/// Nodes on loopback that know each other.
 pub struct Mesh {
     pub nodes: Vec<(SocketAddr, Arc<Spread>)>,
-    pub darkness: Arc<Darkness>,
+    pub unreachable: Arc<HostSet>,
     pub fleet: Arc<Fleet>,
     pub platform: Arc<Platform>,
-    /// Ends with the mesh.
+    /// Aborted when the mesh is dropped.
     _tasks: JoinSet<()>,
 }
 
@@ -249,37 +248,37 @@
         };
         let hosts = listeners.iter().enumerate().map(host).collect();
         let fleet = Arc::new(Fleet { hosts, ..Fleet::default() });
-        let darkness = Arc::<Darkness>::default();
+        let unreachable = Arc::<HostSet>::default();
         let platform = Arc::<Platform>::default();
         let mut tasks = JoinSet::new();
         let mut nodes = Vec::new();
         for (number, listener) in listeners.into_iter().enumerate() {
             let own = address(&listener);
-            let link = Arc::new(HostLink::new(own, darkness.clone()));
-            let way = WayToPlatform::new(own, platform.clone(), darkness.clone());
-            let spread = node(&fleet, number, seed, link, Arc::new(way));
+            let link = Arc::new(HostLink::new(own, unreachable.clone()));
+            let host_platform = HostPlatform::new(own, platform.clone(), unreachable.clone());
+            let spread = node(&fleet, number, seed, link, Arc::new(host_platform));
             spread.take(version(1));
             let handler = Arc::new(Handler::new(spread.clone()));
             tasks.spawn(PeerServer::new(handler, Arc::default()).serve(listener));
             tasks.spawn(spread.clone().run());
             nodes.push((own, spread));
         }
-        Self { nodes, darkness, fleet, platform, _tasks: tasks }
+        Self { nodes, unreachable, fleet, platform, _tasks: tasks }
     }
 
-    /// Waits until all that are not dark hold this version; for how long.
+    /// Waits until all reachable nodes hold this version, and returns how long that took.
     pub async fn time_to_all(&self, number: u64) -> Duration {
         let started = Instant::now();
-        while self.behind(number) > 0 && started.elapsed() < LONGEST {
+        while self.behind(number) > 0 && started.elapsed() < WAIT_MAX {
             sleep(Duration::from_millis(10)).await;
         }
         started.elapsed()
     }
 
-    /// Nodes that are not dark and do not hold this version yet.
+    /// Number of reachable nodes that do not hold this version yet.
     pub fn behind(&self, number: u64) -> usize {
-        let lives = |(address, _): &&(SocketAddr, Arc<Spread>)| !self.darkness.is_dark(*address);
-        let nodes = self.nodes.iter().filter(lives);
+        let is_reachable = |(address, _): &&(SocketAddr, Arc<Spread>)| !self.unreachable.contains(*address);
+        let nodes = self.nodes.iter().filter(is_reachable);
         nodes
             .filter(|(_, spread)| spread.store().version(&DocumentName::System) < Version::new(number))
             .count()
--- a/crates/laurelstall_peer/tests/support/mod.rs
+++ b/crates/laurelstall_peer/tests/support/mod.rs
@@ -1,3 +1,3 @@
-//! What tests of nodes that have only each other share.
+//! Shared helpers for tests with several nodes.
 
 pub mod mesh;
