--- a/crates/laurelstall_balance/src/share_budget.rs
+++ b/crates/laurelstall_balance/src/attempt_budget.rs
@@ -24,9 +24,9 @@
 
 /// The importance of the call that an extra attempt is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SpendingClass {
+pub enum BudgetClass {
     /// One of the most important calls of its service, which may use the whole budget.
-    Foremost,
+    MostImportant,
     /// A less important call, which leaves a part of the budget to those.
     Other,
 }
@@ -41,7 +41,7 @@
 /// withdrawn whole, and the attempt is granted with that probability. The sum over many entry nodes stays close to
 /// their balances.
 #[derive(Debug, Clone)]
-pub struct ShareBudget {
+pub struct AttemptBudget {
     share: f64,
     reserve: f64,
     tokens: f64,
@@ -51,7 +51,7 @@
     refused: u64,
 }
 
-impl ShareBudget {
+impl AttemptBudget {
     /// Creates a budget of `percent` of the calls plus `reserve` attempts in ten seconds.
     pub fn new(percent: u32, reserve: f64) -> Self {
         Self {
@@ -77,7 +77,7 @@
     }
 
     /// Deposits for one call.
-    pub fn earn(&mut self, now_us: u64) {
+    pub fn deposit(&mut self, now_us: u64) {
         self.refill(now_us);
         self.tokens = (self.tokens + self.share).min(self.tokens_max(now_us));
     }
@@ -85,13 +85,13 @@
     /// Withdraws a token for one extra attempt and returns whether the attempt is granted.
     ///
     /// `draw` is a uniform random number from 0 to 1. It decides when the balance is only a fraction of a token.
-    pub fn try_spend(&mut self, class: SpendingClass, draw: f64, now_us: u64) -> bool {
+    pub fn try_withdraw(&mut self, class: BudgetClass, draw: f64, now_us: u64) -> bool {
         self.refill(now_us);
         let tokens_max = self.tokens_max(now_us);
         self.tokens = self.tokens.min(tokens_max);
         let kept = match class {
-            SpendingClass::Foremost => 0.0,
-            SpendingClass::Other => KEPT_SHARE * tokens_max,
+            BudgetClass::MostImportant => 0.0,
+            BudgetClass::Other => KEPT_SHARE * tokens_max,
         };
         let fraction = (self.tokens - kept).min(1.0);
         if self.share <= 0.0 || fraction <= 0.0 || fraction < FRACTION_MIN.min(tokens_max - kept) {
--- a/crates/laurelstall_balance/src/baseline.rs
+++ b/crates/laurelstall_balance/src/baseline.rs
@@ -1,6 +1,6 @@
 //! Baseline algorithms, with which the product's own one is compared.
 
-use crate::chooser::{Candidate, Choice, Chooser, ChoosingContext};
+use crate::chooser::{Candidate, Choice, ChoiceContext, Chooser};
 use rand::RngExt;
 use std::{fmt, sync::Arc};
 
@@ -16,7 +16,7 @@
         "random"
     }
 
-    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoosingContext<'_>) -> Option<Choice> {
+    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoiceContext<'_>) -> Option<Choice> {
         if candidates.is_empty() {
             return None;
         }
@@ -36,7 +36,7 @@
         "round_robin"
     }
 
-    fn choose(&mut self, candidates: &[Candidate<'_>], _: &mut ChoosingContext<'_>) -> Option<Choice> {
+    fn choose(&mut self, candidates: &[Candidate<'_>], _: &mut ChoiceContext<'_>) -> Option<Choice> {
         if candidates.is_empty() {
             return None;
         }
@@ -54,7 +54,7 @@
         "two_choices"
     }
 
-    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoosingContext<'_>) -> Option<Choice> {
+    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoiceContext<'_>) -> Option<Choice> {
         if candidates.is_empty() {
             return None;
         }
@@ -98,7 +98,7 @@
         "least_stale"
     }
 
-    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoosingContext<'_>) -> Option<Choice> {
+    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoiceContext<'_>) -> Option<Choice> {
         let is_due = self.taken_at_us.is_none_or(|at| context.now_us >= at + REPORT_INTERVAL_US);
         if is_due {
             let report = |c: &Candidate<'_>| (c.view.name.clone(), self.loads.expected_us(&c.view.name));
@@ -126,7 +126,7 @@
         "oracle"
     }
 
-    fn choose(&mut self, candidates: &[Candidate<'_>], _: &mut ChoosingContext<'_>) -> Option<Choice> {
+    fn choose(&mut self, candidates: &[Candidate<'_>], _: &mut ChoiceContext<'_>) -> Option<Choice> {
         let choice = least_loaded(candidates, |name| self.loads.expected_us(name))?;
         let chosen = candidates.iter().find(|candidate| candidate.index == choice.index)?;
         self.loads.note_chosen(&chosen.view.name);
--- a/crates/laurelstall_balance/src/chooser.rs
+++ b/crates/laurelstall_balance/src/chooser.rs
@@ -19,7 +19,7 @@
     /// It was the only candidate.
     Only,
     /// It had the lowest expected cost of those compared.
-    LeastWait,
+    LeastCost,
     /// The algorithm does not compare expected times.
     Rule,
 }
@@ -28,7 +28,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Only => "only one left",
-            Self::LeastWait => "least expected time",
+            Self::LeastCost => "least expected time",
             Self::Rule => "rule",
         })
     }
@@ -56,23 +56,23 @@
 
 /// State of the service and the call that a choice takes into account.
 #[derive(Debug)]
-pub struct ChoosingContext<'a> {
+pub struct ChoiceContext<'a> {
     /// The current time in µs of the entry node's monotonic clock.
     pub now_us: u64,
     /// Duration of the slow start of new targets in µs.
     pub slow_start_us: u64,
     /// Mean service time of the service in µs, for targets without a fresh hint.
-    pub usual_us: f64,
+    pub mean_us: f64,
     /// Mean service time of calls of this class in µs; `None` before the first answer.
-    pub class_us: Option<f64>,
+    pub class_mean_us: Option<f64>,
     /// Remaining time in µs in which the answer has its full value; `None` without a latency objective.
     pub useful_us: Option<f64>,
     /// Whether the cost of a remote data centre is waived.
-    pub may_leave_free: bool,
+    pub waives_remote_cost: bool,
     /// Mean share of slots in use, for targets without a fresh hint.
-    pub usual_load: f64,
+    pub mean_load: f64,
     /// Mean number of this entry node's calls in flight per target of the service.
-    pub own_mean: f64,
+    pub own_mean_in_flight: f64,
     /// Source of random choices.
     pub rng: &'a mut SmallRng,
 }
@@ -83,10 +83,10 @@
     fn name(&self) -> &'static str;
 
     /// Chooses one of `candidates`; `None` when there are none.
-    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoosingContext<'_>) -> Option<Choice>;
+    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoiceContext<'_>) -> Option<Choice>;
 
     /// Whether guards should queue without limit and never hand back, as behind a baseline balancer.
-    fn is_plain(&self) -> bool {
+    fn is_baseline(&self) -> bool {
         true
     }
 }
--- a/crates/laurelstall_balance/src/ejection.rs
+++ b/crates/laurelstall_balance/src/ejection.rs
@@ -26,7 +26,7 @@
     }
 
     /// Whether the target is ejected.
-    pub fn is_out(&self, now_us: u64) -> bool {
+    pub fn is_ejected(&self, now_us: u64) -> bool {
         now_us < self.until_us
     }
 
--- a/crates/laurelstall_balance/src/hint.rs
+++ b/crates/laurelstall_balance/src/hint.rs
@@ -4,7 +4,7 @@
 pub const HINT_BYTES: u64 = 24;
 
 /// Slowness of a target that runs at normal speed, in percent of its normal service time.
-pub const USUAL_PERCENT: u32 = 100;
+pub const NORMAL_PERCENT: u32 = 100;
 
 /// Whether a target takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/laurelstall_balance/src/foremost_calls.rs
+++ b/crates/laurelstall_balance/src/importance_tracker.rs
@@ -1,18 +1,18 @@
 //! Tracks the importance of the most important recent calls of a service.
 
-use crate::share_budget::SpendingClass;
+use crate::attempt_budget::BudgetClass;
 
 /// Time in µs for which the importance of a call is remembered: the window of the budgets for extra attempts.
 const WINDOW_US: u64 = 10_000_000;
 
 /// The greatest importance among the calls of the last ten seconds.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ForemostCalls {
+pub struct ImportanceTracker {
     importance: u8,
     seen_at_us: u64,
 }
 
-impl ForemostCalls {
+impl ImportanceTracker {
     /// Records the importance of a call.
     pub fn note(&mut self, importance: u8, now_us: u64) {
         if importance >= self.importance || self.is_expired(now_us) {
@@ -21,11 +21,11 @@
     }
 
     /// The class in which a call of this importance withdraws from a budget of the service.
-    pub fn class_of(&self, importance: u8, now_us: u64) -> SpendingClass {
+    pub fn class_of(&self, importance: u8, now_us: u64) -> BudgetClass {
         if importance >= self.importance || self.is_expired(now_us) {
-            SpendingClass::Foremost
+            BudgetClass::MostImportant
         } else {
-            SpendingClass::Other
+            BudgetClass::Other
         }
     }
 
--- a/crates/laurelstall_balance/src/least_wait.rs
+++ b/crates/laurelstall_balance/src/least_cost.rs
@@ -1,8 +1,8 @@
 //! The product's own algorithm: the lowest expected cost among a few targets, computed from load hints.
 
 use crate::{
-    chooser::{Candidate, Choice, Chooser, ChoosingContext, Reason},
-    hint::USUAL_PERCENT,
+    chooser::{Candidate, Choice, ChoiceContext, Chooser, Reason},
+    hint::NORMAL_PERCENT,
     target_view::{HINT_HALF_AGE_US, SERVICE_HALF_AGE_US, TargetView},
 };
 use rand::{RngExt, rngs::SmallRng, seq::IndexedRandom};
@@ -27,11 +27,11 @@
 /// Where there are many targets, `d` local ones and a few remote ones are compared. A sample of all targets would
 /// often contain no local one.
 #[derive(Debug, Clone)]
-pub struct LeastWait {
+pub struct LeastCost {
     compared: usize,
 }
 
-impl LeastWait {
+impl LeastCost {
     /// Creates a chooser that compares `compared` targets for each choice.
     pub fn new(compared: usize) -> Self {
         Self { compared }
@@ -41,12 +41,12 @@
     fn sample_candidates<'a>(
         &self,
         candidates: &'a [Candidate<'a>],
-        context: &mut ChoosingContext<'_>,
+        context: &mut ChoiceContext<'_>,
     ) -> Vec<&'a Candidate<'a>> {
         if candidates.len() <= self.compared {
             return sample(candidates.iter().collect(), self.compared, context.rng);
         }
-        let is_local = |candidate: &&Candidate<'_>| candidate.view.change_percent == 0;
+        let is_local = |candidate: &&Candidate<'_>| candidate.view.remote_cost_percent == 0;
         let (local, remote): (Vec<_>, Vec<_>) = candidates.iter().partition(is_local);
         let remote_compared = if local.is_empty() { self.compared } else { REMOTE_COMPARED };
         let mut compared = sample(local, self.compared, context.rng);
@@ -69,18 +69,18 @@
     candidates.sample(rng, count).copied().collect()
 }
 
-impl Default for LeastWait {
+impl Default for LeastCost {
     fn default() -> Self {
         Self::new(WEIGHED_DEFAULT)
     }
 }
 
-impl Chooser for LeastWait {
+impl Chooser for LeastCost {
     fn name(&self) -> &'static str {
         "laurelstall"
     }
 
-    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoosingContext<'_>) -> Option<Choice> {
+    fn choose(&mut self, candidates: &[Candidate<'_>], context: &mut ChoiceContext<'_>) -> Option<Choice> {
         let mut best: Option<(usize, f64)> = None;
         let mut runner_up = None;
         for candidate in self.sample_candidates(candidates, context) {
@@ -95,11 +95,11 @@
             }
         }
         let (index, score_us) = best?;
-        let reason = if candidates.len() == 1 { Reason::Only } else { Reason::LeastWait };
+        let reason = if candidates.len() == 1 { Reason::Only } else { Reason::LeastCost };
         Some(Choice { index, reason, score_us, runner_up: runner_up.filter(|(other, _)| *other != index) })
     }
 
-    fn is_plain(&self) -> bool {
+    fn is_baseline(&self) -> bool {
         false
     }
 }
@@ -108,11 +108,12 @@
 /// remote data centre.
 ///
 /// Calls without a latency objective have no cost for a late answer.
-fn cost_us(view: &TargetView, context: &ChoosingContext<'_>) -> f64 {
+fn cost_us(view: &TargetView, context: &ChoiceContext<'_>) -> f64 {
     let expected_us = expected_us(view, context);
-    let remote_cost = if context.may_leave_free { 0.0 } else { f64::from(view.change_percent) / 100.0 };
+    let remote_cost =
+        if context.waives_remote_cost { 0.0 } else { f64::from(view.remote_cost_percent) / 100.0 };
     match context.useful_us {
-        None => expected_us + remote_cost * context.class_us.unwrap_or(context.usual_us),
+        None => expected_us + remote_cost * context.class_mean_us.unwrap_or(context.mean_us),
         Some(useful_us) => {
             let useful_us = useful_us.max(USEFUL_MIN_US);
             let late = late_probability(expected_us, useful_us);
@@ -130,11 +131,11 @@
 ///
 /// The weight of a hint decays with its age in favour of the means of the service. Calls of this entry node that were
 /// sent since the hint count in full.
-pub fn expected_us(view: &TargetView, context: &ChoosingContext<'_>) -> f64 {
+pub fn expected_us(view: &TargetView, context: &ChoiceContext<'_>) -> f64 {
     let slots = f64::from(view.slots.max(1));
     // This entry node's calls in flight are the freshest information on a target.
-    let own = (f64::from(view.in_flight()) + 1.0) / (context.own_mean + 1.0);
-    let mean_in_flight = context.usual_load * slots * own;
+    let own = (f64::from(view.in_flight()) + 1.0) / (context.own_mean_in_flight + 1.0);
+    let mean_in_flight = context.mean_load * slots * own;
     let (busy, limit, service_us) = match view.hint(context.now_us) {
         Some((hint, age_us)) => {
             let trust = 1.0 / (1.0 + age_us as f64 / HINT_HALF_AGE_US);
@@ -143,22 +144,22 @@
             let limit = trust * f64::from(hint.limit.max(1)) + (1.0 - trust) * slots;
             // The speed of a target changes more slowly than its load.
             let trust = 1.0 / (1.0 + age_us as f64 / SERVICE_HALF_AGE_US);
-            let service_us = trust * f64::from(hint.service_us) + (1.0 - trust) * context.usual_us;
+            let service_us = trust * f64::from(hint.service_us) + (1.0 - trust) * context.mean_us;
             (busy + f64::from(view.sent_since_hint()), limit, service_us)
         }
         None => {
-            let service_us = if view.latency_us() > 0.0 { view.latency_us() } else { context.usual_us };
+            let service_us = if view.latency_us() > 0.0 { view.latency_us() } else { context.mean_us };
             (f64::from(view.in_flight()), slots, service_us)
         }
     };
-    let slowness = view.slowness_percent(context.now_us) / f64::from(USUAL_PERCENT);
+    let slowness = view.slowness_percent(context.now_us) / f64::from(NORMAL_PERCENT);
     let service_us = service_us.max(1.0) * slowness;
     // The call itself takes the time of its class; the calls before it in the queue are of all classes.
-    let own_us = context.class_us.map_or(service_us, |class_us| class_us * slowness);
+    let own_us = context.class_mean_us.map_or(service_us, |class_mean_us| class_mean_us * slowness);
     // A part of the service time in proportion to the load spreads calls evenly over targets below their limit.
     let wait_us = (busy + 1.0 - limit).max(0.0) / limit * service_us;
     let spread_us = 0.5 * busy / limit * service_us;
     let error_us = view.error_rate(context.now_us) * ERROR_PENALTY_US;
     let ramp = view.ejection.ramp(context.now_us, context.slow_start_us);
-    view.trip_us as f64 + (own_us + wait_us + spread_us + error_us) / ramp
+    view.round_trip_us as f64 + (own_us + wait_us + spread_us + error_us) / ramp
 }
--- a/crates/laurelstall_balance/src/lib.rs
+++ b/crates/laurelstall_balance/src/lib.rs
@@ -4,30 +4,30 @@
 //! The types hold plain data and have no locks of their own. Time is passed in as µs of a monotonic clock, so tests
 //! and simulations need no real time.
 
+pub mod attempt_budget;
 pub mod baseline;
 pub mod chooser;
 pub mod class_times;
 pub mod ejection;
-pub mod foremost_calls;
 pub mod hint;
-pub mod least_wait;
+pub mod importance_tracker;
+pub mod least_cost;
 pub mod observe_budget;
 pub mod recent_count;
 pub mod service_balancer;
-pub mod share_budget;
-pub mod spill;
+pub mod spillover;
 pub mod target_view;
-pub mod usual_budgets;
+pub mod typical_budgets;
 
 /// The most commonly used types.
 pub mod prelude {
     pub use crate::{
+        attempt_budget::AttemptBudget,
         chooser::{Candidate, Choice, Chooser, Reason},
         hint::{Hint, TargetState},
-        least_wait::LeastWait,
+        least_cost::LeastCost,
         observe_budget::{ObserveBudget, ObserveCost},
-        service_balancer::{AttemptResult, Choosing, ServiceBalancer},
-        share_budget::ShareBudget,
+        service_balancer::{AttemptResult, ChoiceRequest, ServiceBalancer},
         target_view::TargetView,
     };
 }
--- a/crates/laurelstall_balance/src/service_balancer.rs
+++ b/crates/laurelstall_balance/src/service_balancer.rs
@@ -1,25 +1,25 @@
 //! Load balancing of one entry node for one service.
 
 use crate::{
-    chooser::{Candidate, Choice, Chooser, ChoosingContext},
+    attempt_budget::AttemptBudget,
+    chooser::{Candidate, Choice, ChoiceContext, Chooser},
     class_times::{CallClass, ClassTimes},
     ejection::Ejection,
-    foremost_calls::ForemostCalls,
-    hint::{Hint, USUAL_PERCENT},
-    share_budget::ShareBudget,
-    spill::Spill,
+    hint::{Hint, NORMAL_PERCENT},
+    importance_tracker::ImportanceTracker,
+    spillover::Spillover,
     target_view::TargetView,
 };
 use laurelstall_config::team::ServiceLimits;
 use rand::{RngExt, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 use std::{collections::HashMap, fmt};
 
-mod ejecting;
-mod spending;
+mod budgets;
+mod outlier_ejection;
 
-pub use ejecting::Ejected;
-pub use spending::BalancerTotals;
-use spending::reserve_per_entry;
+pub use budgets::BalancerTotals;
+use budgets::reserve_per_entry;
+pub use outlier_ejection::Ejected;
 
 /// Hedges per ten seconds that are allowed beyond the percentage of calls, so that a quiet service can hedge at all.
 const HEDGE_RESERVE: f64 = 2.5;
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
     /// The target answered successfully after this many µs.
-    Good(u64),
+    Succeeded(u64),
     /// The target answered with an error, or the connection broke.
     Failed,
     /// The guard refused the attempt or handed it back, so the target did not run it.
@@ -84,7 +84,7 @@
 
 /// Constraints that a call puts on the choice of its target.
 #[derive(Debug, Clone, Copy)]
-pub struct Choosing<'a> {
+pub struct ChoiceRequest<'a> {
     /// Indices of targets that already refused this call.
     pub excluded: &'a [usize],
     /// The name of the only allowed target, for a call with a ticket.
@@ -96,12 +96,12 @@
     /// Remaining time in µs in which the answer has its full value; `None` without a latency objective.
     pub useful_us: Option<u64>,
     /// Whether the cost of a remote data centre is waived, because local targets refused the call for overload.
-    pub may_leave_free: bool,
+    pub waives_remote_cost: bool,
     /// The current time in µs of the entry node's monotonic clock.
     pub now_us: u64,
 }
 
-impl Choosing<'_> {
+impl ChoiceRequest<'_> {
     /// Whether the call may be served in `data_centre`.
     fn allows_data_centre(&self, data_centre: &str) -> bool {
         self.data_centres.is_none_or(|allowed| allowed.iter().any(|name| name == data_centre))
@@ -117,16 +117,16 @@
     /// Number of entry nodes that share the reserve for retries.
     entries: usize,
     chooser: Box<dyn Chooser>,
-    retries: ShareBudget,
-    foremost: ForemostCalls,
-    reroutes: ShareBudget,
-    hedges: ShareBudget,
+    retries: AttemptBudget,
+    importance_tracker: ImportanceTracker,
+    reroutes: AttemptBudget,
+    hedges: AttemptBudget,
     /// Moving average of the latency of successful attempts, in µs.
     mean_us: f64,
     /// Moving average of the share of slots in use, queued calls included.
     mean_load: f64,
     class_times: ClassTimes,
-    spill: Spill,
+    spillover: Spillover,
     ejections: u64,
     rng: SmallRng,
 }
@@ -140,14 +140,14 @@
             limits,
             entries: 1,
             chooser,
-            retries: ShareBudget::new(limits.retry_percent, reserve_per_entry(&limits, 1)),
-            foremost: ForemostCalls::default(),
-            reroutes: ShareBudget::new(REROUTE_PERCENT, REROUTE_RESERVE),
-            hedges: ShareBudget::new(limits.hedge_percent, HEDGE_RESERVE),
+            retries: AttemptBudget::new(limits.retry_percent, reserve_per_entry(&limits, 1)),
+            importance_tracker: ImportanceTracker::default(),
+            reroutes: AttemptBudget::new(REROUTE_PERCENT, REROUTE_RESERVE),
+            hedges: AttemptBudget::new(limits.hedge_percent, HEDGE_RESERVE),
             mean_us: INITIAL_SERVICE_US,
             mean_load: 0.5,
             class_times: ClassTimes::default(),
-            spill: Spill::default(),
+            spillover: Spillover::default(),
             ejections: 0,
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -169,8 +169,8 @@
                 }
                 kept.started_unix_ms = view.started_unix_ms;
                 kept.slots = view.slots;
-                kept.trip_us = view.trip_us;
-                kept.change_percent = view.change_percent;
+                kept.round_trip_us = view.round_trip_us;
+                kept.remote_cost_percent = view.remote_cost_percent;
                 kept.data_centre = view.data_centre;
                 kept.is_live = view.is_live;
                 view = kept;
@@ -186,27 +186,27 @@
     }
 
     /// Chooses a target for one attempt; `None` when no target may take it.
-    pub fn choose(&mut self, choosing: &Choosing<'_>) -> Option<Choice> {
-        let now_us = choosing.now_us;
-        let is_candidate = |(index, view): &(usize, &TargetView)| match choosing.only {
-            _ if !choosing.allows_data_centre(&view.data_centre) => false,
+    pub fn choose(&mut self, request: &ChoiceRequest<'_>) -> Option<Choice> {
+        let now_us = request.now_us;
+        let is_candidate = |(index, view): &(usize, &TargetView)| match request.only {
+            _ if !request.allows_data_centre(&view.data_centre) => false,
             Some(name) => view.name == name,
-            None => view.is_eligible(now_us) && !choosing.excluded.contains(index),
+            None => view.is_eligible(now_us) && !request.excluded.contains(index),
         };
         let allowed = self.targets.iter().enumerate().filter(is_candidate);
         let mut candidates = Vec::with_capacity(self.targets.len());
         candidates.extend(allowed.map(|(index, view)| Candidate { index, view }));
-        let spills_over = self.rng.random_bool(self.spill.share(now_us));
-        let own_mean = f64::from(self.in_flight) / self.targets.len().max(1) as f64;
-        let mut context = ChoosingContext {
+        let spills_over = self.rng.random_bool(self.spillover.share(now_us));
+        let own_mean_in_flight = f64::from(self.in_flight) / self.targets.len().max(1) as f64;
+        let mut context = ChoiceContext {
             now_us,
             slow_start_us: self.limits.slow_start_ms * 1_000,
-            usual_us: self.mean_us,
-            class_us: self.class_times.mean_us(choosing.class),
-            may_leave_free: choosing.may_leave_free || spills_over,
-            useful_us: choosing.useful_us.map(|useful_us| useful_us as f64),
-            usual_load: self.mean_load,
-            own_mean,
+            mean_us: self.mean_us,
+            class_mean_us: self.class_times.mean_us(request.class),
+            waives_remote_cost: request.waives_remote_cost || spills_over,
+            useful_us: request.useful_us.map(|useful_us| useful_us as f64),
+            mean_load: self.mean_load,
+            own_mean_in_flight,
             rng: &mut self.rng,
         };
         let choice = self.chooser.choose(&candidates, &mut context);
@@ -238,13 +238,13 @@
         self.in_flight -= view.in_flight().min(1);
         view.note_ended();
         match result {
-            AttemptResult::Good(latency_us) => {
+            AttemptResult::Succeeded(latency_us) => {
                 view.note_result(false, latency_us, now_us);
-                let slowness = view.slowness_percent(now_us) / f64::from(USUAL_PERCENT);
+                let slowness = view.slowness_percent(now_us) / f64::from(NORMAL_PERCENT);
                 self.class_times.note(class, latency_us as f64 / slowness);
                 self.mean_us += MEAN_WEIGHT * (latency_us as f64 - self.mean_us);
-                self.retries.earn(now_us);
-                self.hedges.earn(now_us);
+                self.retries.deposit(now_us);
+                self.hedges.deposit(now_us);
             }
             AttemptResult::Failed => view.note_result(true, 0, now_us),
             AttemptResult::NotRun | AttemptResult::Cancelled => return None,
@@ -253,13 +253,13 @@
     }
 
     /// Stores a guard's hint on the load of its target.
-    pub fn take_hint(&mut self, index: usize, name: &str, hint: Hint, now_us: u64) {
+    pub fn update_hint(&mut self, index: usize, name: &str, hint: Hint, now_us: u64) {
         let Some(index) = self.index_of(index, name) else { return };
         let slots = f64::from(self.targets[index].slots.max(1));
         let load = f64::from(hint.in_flight + hint.queued) / slots;
         self.mean_load += MEAN_WEIGHT * (load - self.mean_load);
         self.compare_loads(index, hint.in_flight + hint.queued, hint.limit, now_us);
-        self.targets[index].take_hint(hint, now_us);
+        self.targets[index].update_hint(hint, now_us);
     }
 
     /// The age of a target's last hint in µs; `None` without a hint.
@@ -278,11 +278,11 @@
 
     /// Passes the load of a target to the comparison of the local data centre with the remote ones.
     fn compare_loads(&mut self, index: usize, calls: u32, limit: u32, now_us: u64) {
-        let is_local = |view: &&TargetView| view.change_percent == 0 && view.is_live;
+        let is_local = |view: &&TargetView| view.remote_cost_percent == 0 && view.is_live;
         let local_targets = self.targets.iter().filter(is_local).count();
-        let is_remote = self.targets[index].change_percent > 0;
+        let is_remote = self.targets[index].remote_cost_percent > 0;
         let load = f64::from(calls) / f64::from(limit.max(1));
-        self.spill.note(is_remote, load.min(LOAD_MAX), local_targets, now_us);
+        self.spillover.note(is_remote, load.min(LOAD_MAX), local_targets, now_us);
     }
 
     /// Records that a guard refused a call because its target is slow now: it takes `percent` of its normal time.
@@ -304,7 +304,7 @@
     }
 
     /// Records that a guard refused a call because its cold target admits no further call for `wait_ms`.
-    pub fn note_no_place(&mut self, index: usize, name: &str, wait_ms: u32, now_us: u64) {
+    pub fn note_cold_limit(&mut self, index: usize, name: &str, wait_ms: u32, now_us: u64) {
         let Some(index) = self.index_of(index, name) else { return };
         let wait_us = (u64::from(wait_ms) * 1_000).clamp(1, COLD_PAUSE_MAX_US);
         self.targets[index].note_absent(wait_us, now_us);
@@ -315,7 +315,7 @@
     /// Where all targets are slow, as after a start of the whole fleet, none is avoided for it.
     pub fn slow_from_percent(&self, now_us: u64) -> u32 {
         let threshold = self.service_slowness_percent(now_us).map(|percent| SLOW_FACTOR * percent);
-        threshold.unwrap_or(SLOW_FACTOR_UNKNOWN * USUAL_PERCENT)
+        threshold.unwrap_or(SLOW_FACTOR_UNKNOWN * NORMAL_PERCENT)
     }
 
     /// Slowness of the quickest quarter of the targets in percent of normal service time; `None` with too few recent
@@ -328,7 +328,7 @@
             return None;
         }
         percents.sort_unstable();
-        percents.get(percents.len() / QUICK_TARGETS_DIVISOR).map(|percent| (*percent).max(USUAL_PERCENT))
+        percents.get(percents.len() / QUICK_TARGETS_DIVISOR).map(|percent| (*percent).max(NORMAL_PERCENT))
     }
 
     /// Whether more than two thirds of the live targets recently reported a queue of at least half their concurrency
@@ -348,19 +348,19 @@
     ///
     /// An entry node that sends a service few calls has hints that are seconds old, and without queries it sends calls
     /// to busy targets (`tests/placing.rs`).
-    pub fn to_ask(&mut self, count: usize, now_us: u64) -> Vec<AskedTarget> {
-        if self.spill.local_load() < QUERY_LOAD_MIN {
+    pub fn targets_to_query(&mut self, count: usize, now_us: u64) -> Vec<QueryTarget> {
+        if self.spillover.local_load() < QUERY_LOAD_MIN {
             return Vec::new();
         }
         let is_old =
             |view: &TargetView| view.hint(now_us).is_none_or(|(_, age_us)| age_us > QUERY_HINT_AGE_US);
         let should_query = |(_, view): &(usize, &TargetView)| {
-            view.change_percent == 0 && view.is_eligible(now_us) && is_old(view)
+            view.remote_cost_percent == 0 && view.is_eligible(now_us) && is_old(view)
         };
         let stale = self.targets.iter().enumerate().filter(should_query).collect::<Vec<_>>();
         let sample = stale.sample(&mut self.rng, count);
         sample
-            .map(|(index, view)| AskedTarget {
+            .map(|(index, view)| QueryTarget {
                 index: *index,
                 name: view.name.clone(),
                 host: view.host.clone(),
@@ -408,8 +408,8 @@
     }
 
     /// Whether guards should queue without limit and never hand back, as behind a baseline balancer.
-    pub fn is_plain(&self) -> bool {
-        self.chooser.is_plain()
+    pub fn is_baseline(&self) -> bool {
+        self.chooser.is_baseline()
     }
 
     /// The current index of the target `name`, which was at `index` earlier.
@@ -423,7 +423,7 @@
 
 /// A target whose load should be queried before a call is placed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AskedTarget {
+pub struct QueryTarget {
     /// The target's index in the service's list.
     pub index: usize,
     /// The target's name.
--- a/crates/laurelstall_balance/src/service_balancer/spending.rs
+++ b/crates/laurelstall_balance/src/service_balancer/budgets.rs
@@ -1,7 +1,7 @@
 //! Budgets for attempts beyond the first of a call: retries, hedges and reroutes.
 
 use super::ServiceBalancer;
-use crate::share_budget::SpendingClass;
+use crate::attempt_budget::BudgetClass;
 use laurelstall_config::team::ServiceLimits;
 use rand::RngExt;
 
@@ -36,11 +36,11 @@
     /// repeated run of a request: its call then repeats one that the first run already made, so it is charged to the
     /// retry budget.
     pub fn note_call(&mut self, importance: u8, is_repeat: bool, now_us: u64) {
-        self.foremost.note(importance, now_us);
+        self.importance_tracker.note(importance, now_us);
         self.retries.note_call(now_us);
         self.hedges.note_call(now_us);
         self.reroutes.note_call(now_us);
-        self.reroutes.earn(now_us);
+        self.reroutes.deposit(now_us);
         if is_repeat {
             self.retries.charge(now_us);
         }
@@ -50,30 +50,30 @@
     ///
     /// The call did not run, so another target may well serve it; without this, the budget would be empty when retries
     /// help most. A run that failed adds nothing: it may fail everywhere, and each run makes its own calls again.
-    pub fn note_turned_away(&mut self, now_us: u64) {
-        self.retries.earn(now_us);
+    pub fn note_rejected(&mut self, now_us: u64) {
+        self.retries.deposit(now_us);
     }
 
     /// Withdraws a retry for a call of this importance, one of whose attempts reached a target.
     pub fn may_retry(&mut self, importance: u8, now_us: u64) -> bool {
-        let class = self.foremost.class_of(importance, now_us);
+        let class = self.importance_tracker.class_of(importance, now_us);
         let draw = self.rng.random::<f64>();
-        self.retries.try_spend(class, draw, now_us)
+        self.retries.try_withdraw(class, draw, now_us)
     }
 
     /// Withdraws a reroute for a call that a guard refused because it has no free slot.
     ///
     /// No target received the call, so it is not charged to the retry budget. It has a budget of its own, because in
     /// an overload the other guards are full as well, and reroutes cost traffic between data centres.
-    pub fn may_move(&mut self, now_us: u64) -> bool {
+    pub fn may_reroute(&mut self, now_us: u64) -> bool {
         let draw = self.rng.random::<f64>();
-        self.reroutes.try_spend(SpendingClass::Foremost, draw, now_us)
+        self.reroutes.try_withdraw(BudgetClass::MostImportant, draw, now_us)
     }
 
     /// Withdraws a hedge; refused while the service as a whole is queueing.
     pub fn may_hedge(&mut self, now_us: u64) -> bool {
         let draw = self.rng.random::<f64>();
-        !self.is_queueing(now_us) && self.hedges.try_spend(SpendingClass::Foremost, draw, now_us)
+        !self.is_queueing(now_us) && self.hedges.try_withdraw(BudgetClass::MostImportant, draw, now_us)
     }
 
     /// The counts since this balancer was created.
--- a/crates/laurelstall_balance/src/service_balancer/ejecting.rs
+++ b/crates/laurelstall_balance/src/service_balancer/outlier_ejection.rs
@@ -36,7 +36,7 @@
     /// Ejects the target at `index` if it fails or is slow and the limit on ejected targets allows it.
     pub(super) fn eject_if_outlier(&mut self, index: usize, now_us: u64) -> Option<Ejected> {
         let view = &self.targets[index];
-        if view.ejection.is_out(now_us) || view.samples() < EJECTION_SAMPLES_MIN {
+        if view.ejection.is_ejected(now_us) || view.samples() < EJECTION_SAMPLES_MIN {
             return None;
         }
         let is_slow = self.is_slow(index);
@@ -45,7 +45,7 @@
             self.note_recovery(index, now_us);
             return None;
         }
-        let ejected = self.targets.iter().filter(|view| view.ejection.is_out(now_us)).count();
+        let ejected = self.targets.iter().filter(|view| view.ejection.is_ejected(now_us)).count();
         let ejected_max = self.targets.len() * self.limits.ejected_max_percent as usize / 100;
         if ejected >= ejected_max {
             return None;
--- a/crates/laurelstall_balance/src/spill.rs
+++ b/crates/laurelstall_balance/src/spillover.rs
@@ -25,14 +25,14 @@
 /// calls local until they are likely to be late. This controller compares the loads that targets report with their
 /// answers and raises the share until they are equal.
 #[derive(Debug, Clone, Default)]
-pub struct Spill {
+pub struct Spillover {
     local_load: f64,
     remote_load: f64,
     remote_at_us: u64,
     share: f64,
 }
 
-impl Spill {
+impl Spillover {
     /// Records the load of a local or remote target: its running and waiting calls divided by its concurrency limit.
     /// `local_targets` is the number of live targets in the local data centre.
     pub fn note(&mut self, is_remote: bool, load: f64, local_targets: usize, now_us: u64) {
--- a/crates/laurelstall_balance/src/target_view.rs
+++ b/crates/laurelstall_balance/src/target_view.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     ejection::Ejection,
-    hint::{Hint, TargetState, USUAL_PERCENT},
+    hint::{Hint, NORMAL_PERCENT, TargetState},
 };
 
 /// Weight of a new sample in the moving average of errors.
@@ -42,9 +42,9 @@
     /// Configured number of requests that the target runs at once.
     pub slots: u32,
     /// Network round-trip time to the target in µs.
-    pub trip_us: u64,
+    pub round_trip_us: u64,
     /// Cost of sending a call to the target's data centre, in percent of the value of its answer; 0 in the local one.
-    pub change_percent: u32,
+    pub remote_cost_percent: u32,
     /// The data centre of the target; empty when unknown.
     pub data_centre: String,
     /// Whether the list of hosts has the target's host as live.
@@ -65,14 +65,14 @@
 
 impl TargetView {
     /// Creates the state of an unknown target, which ramps up from `now_us`.
-    pub fn new(name: &str, host: &str, slots: u32, trip_us: u64, now_us: u64) -> Self {
+    pub fn new(name: &str, host: &str, slots: u32, round_trip_us: u64, now_us: u64) -> Self {
         Self {
             name: name.to_owned(),
             host: host.to_owned(),
             started_unix_ms: 0,
             slots,
-            trip_us,
-            change_percent: 0,
+            round_trip_us,
+            remote_cost_percent: 0,
             data_centre: String::new(),
             is_live: true,
             ejection: Ejection::new(now_us),
@@ -101,7 +101,7 @@
     }
 
     /// Stores a guard's hint. A new incarnation resets latency, errors and ejection.
-    pub fn take_hint(&mut self, hint: Hint, now_us: u64) {
+    pub fn update_hint(&mut self, hint: Hint, now_us: u64) {
         let has_changed = |old: &Hint| old.incarnation != 0 && old.incarnation != hint.incarnation;
         let is_restarted = self.hint.is_some_and(|(old, _)| has_changed(&old));
         if is_restarted {
@@ -139,7 +139,7 @@
             queued: 0,
             limit: self.slots,
             service_us: mean_us as u32,
-            slowness_percent: USUAL_PERCENT,
+            slowness_percent: NORMAL_PERCENT,
             state: TargetState::Serving,
         }
     }
@@ -229,7 +229,7 @@
     /// The slowness of the target in percent of its normal service time. It decays towards 100 with the age of the
     /// hint.
     pub fn slowness_percent(&self, now_us: u64) -> f64 {
-        let normal = f64::from(USUAL_PERCENT);
+        let normal = f64::from(NORMAL_PERCENT);
         let Some((hint, age_us)) = self.hint(now_us) else { return normal };
         let trust = 1.0 / (1.0 + age_us as f64 / SERVICE_HALF_AGE_US);
         normal + trust * (f64::from(hint.slowness_percent) - normal)
--- a/crates/laurelstall_balance/src/usual_budgets.rs
+++ b/crates/laurelstall_balance/src/typical_budgets.rs
@@ -54,11 +54,11 @@
 /// A caller gives the first attempt of a request all its time and a retry only what is left, so a call with clearly
 /// less than the typical budget is a retry.
 #[derive(Debug, Default)]
-pub struct UsualBudgets {
+pub struct TypicalBudgets {
     classes: HashMap<CallClass, ClassBudgets>,
 }
 
-impl UsualBudgets {
+impl TypicalBudgets {
     /// Counts a call with `budget_ms` and returns whether it is likely to be a retry.
     pub fn note(&mut self, class: CallClass, budget_ms: u64) -> bool {
         if self.classes.len() >= CLASSES_MAX && !self.classes.contains_key(&class) {
--- a/crates/laurelstall_balance/tests/decisions.rs
+++ b/crates/laurelstall_balance/tests/decisions.rs
@@ -1,13 +1,13 @@
 //! Load balancing decisions of an entry node, in single cases and in long random runs.
 
 use laurelstall_balance::{
+    attempt_budget::{AttemptBudget, BudgetClass},
     hint::{Hint, TargetState},
-    least_wait::LeastWait,
+    least_cost::LeastCost,
     observe_budget::{ObserveBudget, ObserveCost},
-    service_balancer::{AttemptResult, Choosing, ServiceBalancer},
-    share_budget::{ShareBudget, SpendingClass},
+    service_balancer::{AttemptResult, ChoiceRequest, ServiceBalancer},
     target_view::TargetView,
-    usual_budgets::UsualBudgets,
+    typical_budgets::TypicalBudgets,
 };
 use laurelstall_config::team::ServiceLimits;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -16,7 +16,7 @@
 const SECOND_US: u64 = 1_000_000;
 
 fn balancer(targets: usize, limits: ServiceLimits) -> ServiceBalancer {
-    let mut balancer = ServiceBalancer::new(limits, Box::new(LeastWait::default()), 7);
+    let mut balancer = ServiceBalancer::new(limits, Box::new(LeastCost::default()), 7);
     balancer.set_targets(limits, views(targets));
     balancer
 }
@@ -39,13 +39,13 @@
 
 fn choose(balancer: &mut ServiceBalancer, now_us: u64) -> Option<usize> {
     balancer
-        .choose(&Choosing {
+        .choose(&ChoiceRequest {
             excluded: &[],
             only: None,
             data_centres: None,
             class: 0,
             useful_us: None,
-            may_leave_free: false,
+            waives_remote_cost: false,
             now_us,
         })
         .map(|choice| choice.index)
@@ -56,7 +56,7 @@
     let mut balancer = balancer(4, ServiceLimits::default());
     for index in 0..4 {
         let load = if index == 2 { 1 } else { 12 };
-        balancer.take_hint(index, &format!("t-{index}"), hint(load, load), START_US);
+        balancer.update_hint(index, &format!("t-{index}"), hint(load, load), START_US);
     }
     for _ in 0..20 {
         assert_eq!(choose(&mut balancer, START_US), Some(2));
@@ -66,8 +66,8 @@
 #[test]
 fn own_calls_in_flight_outweigh_an_old_hint() {
     let mut balancer = balancer(2, ServiceLimits::default());
-    balancer.take_hint(0, "t-0", hint(0, 0), START_US);
-    balancer.take_hint(1, "t-1", hint(12, 3), START_US);
+    balancer.update_hint(0, "t-0", hint(0, 0), START_US);
+    balancer.update_hint(1, "t-1", hint(12, 3), START_US);
     for _ in 0..30 {
         balancer.note_sent(0);
     }
@@ -77,7 +77,7 @@
 #[test]
 fn a_draining_target_is_tried_again_after_a_second() {
     let mut balancer = balancer(1, ServiceLimits::default());
-    balancer.take_hint(0, "t-0", Hint { state: TargetState::Draining, ..hint(0, 0) }, START_US);
+    balancer.update_hint(0, "t-0", Hint { state: TargetState::Draining, ..hint(0, 0) }, START_US);
     assert_eq!(choose(&mut balancer, START_US + SECOND_US / 2), None);
     let later_us = START_US + SECOND_US + SECOND_US / 2;
     assert_eq!(choose(&mut balancer, later_us), Some(0), "it may be back without a hint");
@@ -88,7 +88,7 @@
 #[test]
 fn draining_and_leaving_targets_get_no_calls() {
     let mut balancer = balancer(3, ServiceLimits::default());
-    balancer.take_hint(0, "t-0", Hint { state: TargetState::Draining, ..hint(0, 0) }, START_US);
+    balancer.update_hint(0, "t-0", Hint { state: TargetState::Draining, ..hint(0, 0) }, START_US);
     let mut listed = views(3);
     listed[1].is_live = false;
     balancer.set_targets(ServiceLimits::default(), listed);
@@ -122,7 +122,7 @@
             balancer.note_result(index, &format!("t-{index}"), 0, AttemptResult::Failed, START_US);
         }
     }
-    let ejected = balancer.targets().iter().filter(|view| view.ejection.is_out(START_US)).count();
+    let ejected = balancer.targets().iter().filter(|view| view.ejection.is_ejected(START_US)).count();
     assert_eq!(ejected, 2);
 }
 
@@ -139,7 +139,7 @@
                     index,
                     &format!("t-{index}"),
                     0,
-                    AttemptResult::Good(latency_us),
+                    AttemptResult::Succeeded(latency_us),
                     now_us,
                 );
             }
@@ -159,8 +159,8 @@
     };
     assert_eq!(count(&mut balancer, START_US), 0);
     assert!(count(&mut balancer, START_US + 10 * SECOND_US) > 30);
-    balancer.take_hint(2, "t-2", hint(0, 0), START_US + 10 * SECOND_US);
-    balancer.take_hint(2, "t-2", Hint { incarnation: 2, ..hint(0, 0) }, START_US + 10 * SECOND_US);
+    balancer.update_hint(2, "t-2", hint(0, 0), START_US + 10 * SECOND_US);
+    balancer.update_hint(2, "t-2", Hint { incarnation: 2, ..hint(0, 0) }, START_US + 10 * SECOND_US);
     assert_eq!(count(&mut balancer, START_US + 10 * SECOND_US), 0);
 }
 
@@ -169,11 +169,11 @@
     let mut balancer = balancer(3, ServiceLimits { hedge_percent: 50, ..ServiceLimits::default() });
     for _ in 0..40 {
         balancer.note_sent(0);
-        balancer.note_result(0, "t-0", 0, AttemptResult::Good(1_000), START_US);
+        balancer.note_result(0, "t-0", 0, AttemptResult::Succeeded(1_000), START_US);
     }
     assert!(balancer.may_hedge(START_US));
     for index in 0..3 {
-        balancer.take_hint(index, &format!("t-{index}"), hint(12, 12), START_US);
+        balancer.update_hint(index, &format!("t-{index}"), hint(12, 12), START_US);
     }
     assert!(!balancer.may_hedge(START_US));
 }
@@ -190,19 +190,19 @@
 
 #[test]
 fn retries_stay_within_their_percentage() {
-    let mut budget = ShareBudget::new(10, 0.0);
+    let mut budget = AttemptBudget::new(10, 0.0);
     let mut rng = SmallRng::seed_from_u64(3);
     let mut granted = 0;
     for call in 0..10_000 {
         let now_us = call * 1_000;
         budget.note_call(now_us);
-        budget.earn(now_us);
-        let mut spend = || u32::from(budget.try_spend(SpendingClass::Foremost, rng.random(), now_us));
+        budget.deposit(now_us);
+        let mut spend = || u32::from(budget.try_withdraw(BudgetClass::MostImportant, rng.random(), now_us));
         granted += spend() + spend();
     }
     assert!(granted <= 1_000, "{granted}");
     assert!(granted >= 900, "{granted}");
-    assert!(!ShareBudget::new(0, 10.0).try_spend(SpendingClass::Foremost, 0.0, 0));
+    assert!(!AttemptBudget::new(0, 10.0).try_withdraw(BudgetClass::MostImportant, 0.0, 0));
 }
 
 #[test]
@@ -258,13 +258,13 @@
         match rng.random_range(0..10) {
             0..4 => {
                 let excluded = [rng.random_range(0..5)];
-                let choice = balancer.choose(&Choosing {
+                let choice = balancer.choose(&ChoiceRequest {
                     excluded: &excluded,
                     only: None,
                     data_centres: None,
                     class: 0,
                     useful_us: None,
-                    may_leave_free: false,
+                    waives_remote_cost: false,
                     now_us,
                 });
                 let Some(choice) = choice else { continue };
@@ -276,7 +276,7 @@
             4..8 if !running.is_empty() => {
                 let (index, name) = running.swap_remove(rng.random_range(0..running.len()));
                 let result = match rng.random_range(0..4) {
-                    0 => AttemptResult::Good(rng.random_range(1..100_000)),
+                    0 => AttemptResult::Succeeded(rng.random_range(1..100_000)),
                     1 => AttemptResult::Failed,
                     2 => AttemptResult::NotRun,
                     _ => AttemptResult::Cancelled,
@@ -286,7 +286,7 @@
             8 => {
                 let index = rng.random_range(0..5);
                 let hint = Hint { incarnation: rng.random_range(1..3), ..hint(rng.random_range(0..30), 0) };
-                balancer.take_hint(index, &format!("t-{index}"), hint, now_us);
+                balancer.update_hint(index, &format!("t-{index}"), hint, now_us);
             }
             _ => {
                 let mut listed = views(5);
@@ -296,7 +296,7 @@
         }
         let in_flight: u32 = balancer.targets().iter().map(TargetView::in_flight).sum();
         assert_eq!(in_flight as usize, running.len());
-        let ejected = balancer.targets().iter().filter(|view| view.ejection.is_out(now_us)).count();
+        let ejected = balancer.targets().iter().filter(|view| view.ejection.is_ejected(now_us)).count();
         assert!(ejected <= 1, "{ejected} of 5 targets are ejected");
     }
 }
@@ -321,23 +321,23 @@
 fn a_call_leaves_its_data_centre_only_if_the_local_target_would_be_late() {
     let mut balancer = balancer(2, ServiceLimits::default());
     let mut listed = views(2);
-    listed[1].change_percent = 50;
+    listed[1].remote_cost_percent = 50;
     balancer.set_targets(ServiceLimits::default(), listed);
     let mut choose = |percent: u32, useful_ms: u64| {
         let local = Hint { slowness_percent: percent, ..hint(0, 0) };
-        balancer.take_hint(0, "t-0", local, START_US);
-        balancer.take_hint(1, "t-1", hint(0, 0), START_US);
+        balancer.update_hint(0, "t-0", local, START_US);
+        balancer.update_hint(1, "t-1", hint(0, 0), START_US);
         let useful_us = Some(useful_ms * 1_000);
-        let choosing = Choosing {
+        let request = ChoiceRequest {
             excluded: &[],
             only: None,
             data_centres: None,
             class: 0,
             useful_us,
-            may_leave_free: false,
+            waives_remote_cost: false,
             now_us: START_US,
         };
-        balancer.choose(&choosing).expect("a target").index
+        balancer.choose(&request).expect("a target").index
     };
     // A call takes 10 ms, or 40 ms while the local target is slow.
     assert_eq!(choose(100, 30), 0, "both targets are in time");
@@ -352,11 +352,11 @@
     assert_eq!(balancer.slow_from_percent(START_US), 300, "no target has sent a hint");
     for index in 0..4 {
         let cold = Hint { slowness_percent: 200, ..hint(0, 0) };
-        balancer.take_hint(index, &format!("t-{index}"), cold, START_US);
+        balancer.update_hint(index, &format!("t-{index}"), cold, START_US);
     }
     assert_eq!(balancer.slow_from_percent(START_US), 400, "all targets are slow");
     for index in 0..2 {
-        balancer.take_hint(index, &format!("t-{index}"), hint(0, 0), START_US);
+        balancer.update_hint(index, &format!("t-{index}"), hint(0, 0), START_US);
     }
     assert_eq!(balancer.slow_from_percent(START_US), 200, "half of the targets are not slow");
     assert_eq!(balancer.slow_from_percent(START_US + SECOND_US), 200, "hints of a second ago count");
@@ -365,7 +365,7 @@
 
 #[test]
 fn a_call_with_less_than_the_typical_budget_is_a_retry() {
-    let mut budgets = UsualBudgets::default();
+    let mut budgets = TypicalBudgets::default();
     for _ in 0..20 {
         assert!(!budgets.note(1, 800), "the typical budget");
     }
@@ -376,14 +376,14 @@
 
 #[test]
 fn without_a_typical_budget_no_call_is_a_retry() {
-    let mut budgets = UsualBudgets::default();
+    let mut budgets = TypicalBudgets::default();
     let is_any = (0..2_000u64).any(|call| budgets.note(1, 100 + call * 37 % 900));
     assert!(!is_any);
 }
 
 #[test]
 fn the_typical_budget_is_found_although_most_calls_are_retries() {
-    let mut budgets = UsualBudgets::default();
+    let mut budgets = TypicalBudgets::default();
     let mut detected = 0;
     for call in 0..900u64 {
         let is_retry = call % 3 != 0;
@@ -397,14 +397,14 @@
 
 #[test]
 fn of_many_equal_targets_a_local_one_is_chosen() {
-    let mut balancer = ServiceBalancer::new(ServiceLimits::default(), Box::new(LeastWait::default()), 7);
+    let mut balancer = ServiceBalancer::new(ServiceLimits::default(), Box::new(LeastCost::default()), 7);
     let mut listed = views(30);
     for view in &mut listed[6..] {
-        view.change_percent = 90;
+        view.remote_cost_percent = 90;
     }
     balancer.set_targets(ServiceLimits::default(), listed);
     for index in 0..30 {
-        balancer.take_hint(index, &format!("t-{index}"), hint(1, 0), START_US);
+        balancer.update_hint(index, &format!("t-{index}"), hint(1, 0), START_US);
     }
     let remote = (0..500).filter(|_| {
         let choice = choose(&mut balancer, START_US).expect("all are eligible");
@@ -418,23 +418,23 @@
 fn a_call_that_busy_local_targets_refused_leaves_its_data_centre() {
     let mut balancer = balancer(3, ServiceLimits::default());
     let mut listed = views(3);
-    listed[2].change_percent = 90;
+    listed[2].remote_cost_percent = 90;
     balancer.set_targets(ServiceLimits::default(), listed);
-    balancer.take_hint(0, "t-0", hint(12, 12), START_US);
-    balancer.take_hint(1, "t-1", hint(12, 6), START_US);
-    balancer.take_hint(2, "t-2", hint(0, 0), START_US);
-    let mut choose = |may_leave_free: bool| {
+    balancer.update_hint(0, "t-0", hint(12, 12), START_US);
+    balancer.update_hint(1, "t-1", hint(12, 6), START_US);
+    balancer.update_hint(2, "t-2", hint(0, 0), START_US);
+    let mut choose = |waives_remote_cost: bool| {
         let useful_us = Some(20_000);
-        let choosing = Choosing {
+        let request = ChoiceRequest {
             excluded: &[0],
             only: None,
             data_centres: None,
             class: 0,
             useful_us,
-            may_leave_free,
+            waives_remote_cost,
             now_us: START_US,
         };
-        balancer.choose(&choosing).expect("a target").index
+        balancer.choose(&request).expect("a target").index
     };
     assert_eq!(choose(false), 1, "a local target is tried first");
     assert_eq!(choose(true), 2, "then the call goes to an idle remote target");
--- a/crates/laurelstall_balance/tests/placing.rs
+++ b/crates/laurelstall_balance/tests/placing.rs
@@ -5,8 +5,8 @@
 
 use laurelstall_balance::{
     hint::{Hint, TargetState},
-    least_wait::LeastWait,
-    service_balancer::{AttemptResult, Choosing, ServiceBalancer},
+    least_cost::LeastCost,
+    service_balancer::{AttemptResult, ChoiceRequest, ServiceBalancer},
     target_view::TargetView,
 };
 use laurelstall_config::team::ServiceLimits;
@@ -113,12 +113,12 @@
             (0..TARGETS).map(|n| Target { running: 0, waiting: VecDeque::new(), phase: n as u64 * 7_919 });
         let entry = |n: usize| {
             let limits = ServiceLimits { slow_start_ms: 0, ..ServiceLimits::default() };
-            let mut balancer = ServiceBalancer::new(limits, Box::new(LeastWait::default()), seed + n as u64);
+            let mut balancer = ServiceBalancer::new(limits, Box::new(LeastCost::default()), seed + n as u64);
             let views = (0..TARGETS).map(|t| {
                 let is_remote = t % DATA_CENTRES != n % DATA_CENTRES;
-                let trip_us = if is_remote { 2_000 } else { 300 };
-                let mut view = TargetView::new(&format!("t-{t}"), &format!("h-{t}"), 9, trip_us, 0);
-                view.change_percent = if is_remote { REMOTE_COST_PERCENT } else { 0 };
+                let round_trip_us = if is_remote { 2_000 } else { 300 };
+                let mut view = TargetView::new(&format!("t-{t}"), &format!("h-{t}"), 9, round_trip_us, 0);
+                view.remote_cost_percent = if is_remote { REMOTE_COST_PERCENT } else { 0 };
                 view
             });
             balancer.set_targets(limits, views.collect());
@@ -137,9 +137,9 @@
 
     /// Queries the load of a few targets, as a node does before it chooses one.
     fn query(&mut self, entry: usize, now_us: u64) {
-        for queried in self.entries[entry].to_ask(self.queries, now_us) {
+        for queried in self.entries[entry].targets_to_query(self.queries, now_us) {
             let hint = self.targets[queried.index].hint(now_us, self.seed);
-            self.entries[entry].take_hint(queried.index, &queried.name, hint, now_us);
+            self.entries[entry].update_hint(queried.index, &queried.name, hint, now_us);
         }
     }
 
@@ -152,16 +152,16 @@
         let mut now_us = arrived_us;
         for _ in 0..ATTEMPTS_MAX {
             let useful_us = Some((arrived_us + USEFUL_US).saturating_sub(now_us));
-            let choosing = Choosing {
+            let request = ChoiceRequest {
                 excluded: &excluded,
                 only: None,
                 data_centres: None,
                 class: 1,
                 useful_us,
-                may_leave_free: !excluded.is_empty(),
+                waives_remote_cost: !excluded.is_empty(),
                 now_us,
             };
-            let Some(choice) = self.entries[entry].choose(&choosing) else { break };
+            let Some(choice) = self.entries[entry].choose(&request) else { break };
             let target = choice.index;
             self.result.attempts += u32::from(counts);
             let is_remote = target % DATA_CENTRES != entry % DATA_CENTRES;
@@ -209,8 +209,8 @@
             self.targets[target].running -= 1;
             let hint = self.targets[target].hint(at_us, self.seed);
             let name = format!("t-{target}");
-            self.entries[entry].take_hint(target, &name, hint, at_us);
-            let result = AttemptResult::Good(at_us - started_us);
+            self.entries[entry].update_hint(target, &name, hint, at_us);
+            let result = AttemptResult::Succeeded(at_us - started_us);
             self.entries[entry].note_result(target, &name, 1, result, at_us);
             let is_in_time = at_us - arrived_us <= USEFUL_US;
             self.result.in_time += u32::from(is_in_time && arrived_us >= WARM_UP_US);
@@ -271,7 +271,7 @@
     for step in 0..1_000 {
         let now_us = step * 1_000;
         fleet.end_until(now_us);
-        assert!(fleet.entries[0].to_ask(2, now_us).is_empty());
+        assert!(fleet.entries[0].targets_to_query(2, now_us).is_empty());
         fleet.call(step as usize % ENTRIES, now_us);
     }
 }
--- a/crates/laurelstall_balance/tests/restarts.rs
+++ b/crates/laurelstall_balance/tests/restarts.rs
@@ -2,8 +2,8 @@
 
 use laurelstall_balance::{
     hint::{Hint, TargetState},
-    least_wait::LeastWait,
-    service_balancer::{AttemptResult, Choosing, ServiceBalancer},
+    least_cost::LeastCost,
+    service_balancer::{AttemptResult, ChoiceRequest, ServiceBalancer},
     target_view::TargetView,
 };
 use laurelstall_config::team::ServiceLimits;
@@ -23,7 +23,7 @@
 /// A balancer whose first target, which started at `started_unix_ms`, is ejected for errors.
 fn balancer_with_ejected_target(started_unix_ms: u64) -> ServiceBalancer {
     let limits = ServiceLimits::default();
-    let mut balancer = ServiceBalancer::new(limits, Box::new(LeastWait::default()), 7);
+    let mut balancer = ServiceBalancer::new(limits, Box::new(LeastCost::default()), 7);
     balancer.set_targets(limits, views(started_unix_ms, START_US));
     let hint = Hint {
         incarnation: 1,
@@ -34,7 +34,7 @@
         slowness_percent: 400,
         state: TargetState::Serving,
     };
-    balancer.take_hint(0, "t-0", hint, START_US);
+    balancer.update_hint(0, "t-0", hint, START_US);
     for _ in 0..40 {
         balancer.note_sent(0);
         balancer.note_result(0, "t-0", 0, AttemptResult::Failed, START_US);
@@ -72,16 +72,16 @@
     let index = balancer.targets().iter().position(|view| view.name == "t-0").expect("the target is listed");
     balancer.note_result(index, "t-0", 0, AttemptResult::Cancelled, START_US);
     assert_eq!(first_view(&balancer).in_flight(), 0);
-    let choosing = Choosing {
+    let request = ChoiceRequest {
         excluded: &[],
         only: Some("t-0"),
         data_centres: None,
         class: 0,
         useful_us: None,
-        may_leave_free: false,
+        waives_remote_cost: false,
         now_us: START_US,
     };
-    assert!(balancer.choose(&choosing).is_some());
+    assert!(balancer.choose(&request).is_some());
 }
 
 #[test]
--- a/crates/laurelstall_balance/tests/retry_budget.rs
+++ b/crates/laurelstall_balance/tests/retry_budget.rs
@@ -2,7 +2,7 @@
 //! refuse calls and all nodes restart at the same time.
 
 use laurelstall_balance::{
-    least_wait::LeastWait,
+    least_cost::LeastCost,
     service_balancer::{AttemptResult, ServiceBalancer},
     target_view::TargetView,
 };
@@ -26,7 +26,7 @@
 fn fleet_of(entries: usize, limits: ServiceLimits, seed: u64) -> Vec<ServiceBalancer> {
     let balancer = |number| {
         let mut balancer =
-            ServiceBalancer::new(limits, Box::new(LeastWait::default()), seed * 10_000 + number);
+            ServiceBalancer::new(limits, Box::new(LeastCost::default()), seed * 10_000 + number);
         balancer.set_targets(limits, vec![TargetView::new("t", "h", 6, 100, SECOND_US)]);
         balancer.set_entries(entries);
         balancer
@@ -41,9 +41,9 @@
         let now_us = at_s * SECOND_US + call;
         balancer.note_call(IMPORTANCE, false, now_us);
         if is_good {
-            balancer.note_result(0, "t", 0, AttemptResult::Good(1_000), now_us);
+            balancer.note_result(0, "t", 0, AttemptResult::Succeeded(1_000), now_us);
         } else {
-            balancer.note_turned_away(now_us);
+            balancer.note_rejected(now_us);
             granted += u64::from(balancer.may_retry(IMPORTANCE, now_us))
                 + u64::from(balancer.may_retry(IMPORTANCE, now_us));
         }
@@ -169,9 +169,9 @@
                 balancer.note_call(importance, false, now_us);
                 let is_accepted = !rng.random_bool(REJECTED);
                 if is_accepted {
-                    balancer.note_result(0, "t", 0, AttemptResult::Good(1_000), now_us);
+                    balancer.note_result(0, "t", 0, AttemptResult::Succeeded(1_000), now_us);
                 } else {
-                    balancer.note_turned_away(now_us);
+                    balancer.note_rejected(now_us);
                 }
                 if is_accepted || !balancer.may_retry(importance, now_us) {
                     return is_accepted;
--- a/crates/laurelstall_crash/src/crash_record.rs
+++ b/crates/laurelstall_crash/src/crash_record.rs
@@ -20,7 +20,7 @@
 
 /// A crash of a target while the request was running there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CrashEnd {
+pub struct TargetCrash {
     /// The id of the crash, equal at all nodes.
     pub id: u64,
     /// The time of the crash in µs of the node's clock; negative before the node started.
@@ -29,7 +29,7 @@
 
 /// A crash in a report to another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNews {
+pub struct ReportedCrash {
     /// The id of the crash.
     pub id: u64,
     /// The time since the crash in ms.
@@ -38,13 +38,13 @@
 
 /// A report on one request from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashReport {
     /// The request.
     pub digest: RequestDigest,
     /// Full name of the service whose targets crashed.
     pub service: String,
     /// The crashes while the request was running.
-    pub ends: Vec<EndNews>,
+    pub ends: Vec<ReportedCrash>,
     /// Time in ms since the last successful run; `None` when none is remembered.
     pub good_run_age_ms: Option<u64>,
     /// Time in ms since an operator last released the request; `None` when none did.
@@ -59,7 +59,7 @@
     /// Full name of the service whose targets crashed.
     pub service: String,
     /// The latest crashes, earliest first.
-    crashes: Vec<CrashEnd>,
+    crashes: Vec<TargetCrash>,
     /// The time of the last successful run in µs of the node's clock.
     success_us: Option<i64>,
     /// The time of the last release by an operator in µs of the node's clock.
@@ -74,7 +74,7 @@
 
     /// Adds a crash and returns whether it is new. Of several times for one crash the earliest is kept, because
     /// reports arrive late.
-    pub fn add_crash(&mut self, crash: CrashEnd) -> bool {
+    pub fn add_crash(&mut self, crash: TargetCrash) -> bool {
         if let Some(known) = self.crashes.iter_mut().find(|known| known.id == crash.id) {
             known.at_us = known.at_us.min(crash.at_us);
             return false;
@@ -108,7 +108,7 @@
 
     /// The crashes that count against the request, earliest first: those after its last release and more than
     /// [`SUCCESS_SHIELD_US`] after its last successful run.
-    pub fn counted_crashes(&self) -> &[CrashEnd] {
+    pub fn counted_crashes(&self) -> &[TargetCrash] {
         let shielded_us = self.success_us.map_or(i64::MIN, |at_us| at_us + SUCCESS_SHIELD_US);
         let released_us = self.release_us.unwrap_or(i64::MIN);
         let from_us = shielded_us.max(released_us);
@@ -124,20 +124,20 @@
     /// The number of bursts of counted crashes: the first one, and one for each failed trial after a quarantine.
     pub fn crash_bursts(&self) -> usize {
         let counted = self.counted_crashes();
-        let is_pause = |pair: &&[CrashEnd]| pair[1].at_us - pair[0].at_us > BURST_PAUSE_US;
+        let is_pause = |pair: &&[TargetCrash]| pair[1].at_us - pair[0].at_us > BURST_PAUSE_US;
         usize::from(!counted.is_empty()) + counted.windows(2).filter(is_pause).count()
     }
 
     /// The report on this request for other nodes.
-    pub fn report(&self, now_us: i64) -> CrashNews {
+    pub fn report(&self, now_us: i64) -> CrashReport {
         let age_ms = |at_us: i64| u64::try_from((now_us - at_us) / 1_000).unwrap_or(0);
-        CrashNews {
+        CrashReport {
             digest: self.digest,
             service: self.service.clone(),
             ends: self
                 .crashes
                 .iter()
-                .map(|crash| EndNews { id: crash.id, age_ms: age_ms(crash.at_us) })
+                .map(|crash| ReportedCrash { id: crash.id, age_ms: age_ms(crash.at_us) })
                 .collect(),
             good_run_age_ms: self.success_us.map(age_ms),
             release_age_ms: self.release_us.map(age_ms),
@@ -145,11 +145,11 @@
     }
 
     /// Merges a report of another node and returns whether it has anything new.
-    pub fn merge_report(&mut self, report: &CrashNews, now_us: i64) -> bool {
+    pub fn merge_report(&mut self, report: &CrashReport, now_us: i64) -> bool {
         let at_us = |age_ms: u64| now_us - i64::try_from(age_ms.min(AGE_MAX_MS)).unwrap_or(0) * 1_000;
         let mut has_changed = false;
         for crash in report.ends.iter().take(CRASHES_MAX) {
-            has_changed |= self.add_crash(CrashEnd { id: crash.id, at_us: at_us(crash.age_ms) });
+            has_changed |= self.add_crash(TargetCrash { id: crash.id, at_us: at_us(crash.age_ms) });
         }
         if let Some(age_ms) = report.good_run_age_ms {
             has_changed |= self.add_success(at_us(age_ms));
--- a/crates/laurelstall_crash/src/crash_table.rs
+++ b/crates/laurelstall_crash/src/crash_table.rs
@@ -6,9 +6,9 @@
 //! one. Nodes exchange crashes, by id, and successful runs, so all of them reach the same decision.
 
 use crate::{
-    crash_record::{CrashEnd, CrashNews, CrashRecord},
-    good_runs::SuccessfulRuns,
+    crash_record::{CrashRecord, CrashReport, TargetCrash},
     request_digest::RequestDigest,
+    successful_runs::SuccessfulRuns,
 };
 use std::{cmp::Reverse, collections::BTreeMap};
 use xxhash_rust::xxh3::Xxh3;
@@ -35,29 +35,29 @@
 
 /// Whether a request is suspected or quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum QuarantineStatus {
     /// No crash counts against the request.
     Harmless,
     /// The request was running at this many crashes, too few for a quarantine.
     Suspected(usize),
     /// The request is quarantined.
-    Held {
+    Quarantined {
         /// Time in ms after which a trial may be made.
         retry_after_ms: u64,
     },
     /// The quarantine is over and one trial request may be let through.
-    Trial,
+    HalfOpen,
 }
 
 /// A suspected or quarantined request, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CrashState {
+pub struct SuspectState {
     /// The request.
     pub digest: RequestDigest,
     /// Full name of the service whose targets crashed.
     pub service: String,
     /// Its current status.
-    pub verdict: Verdict,
+    pub quarantine_status: QuarantineStatus,
     /// The number of crashes that count against it.
     pub ends: usize,
     /// The time since the last crash in ms.
@@ -75,9 +75,9 @@
 impl CrashTable {
     /// Records a crash of a target of `service` that was running these requests. Returns those for which the crash is
     /// new.
-    pub fn note_end(
+    pub fn note_crash(
         &mut self,
-        crash: CrashEnd,
+        crash: TargetCrash,
         service: &str,
         digests: &[RequestDigest],
         now_us: i64,
@@ -95,7 +95,7 @@
     }
 
     /// Records a successful run of a request and returns whether other nodes should learn of it.
-    pub fn note_good(&mut self, digest: RequestDigest, now_us: i64) -> bool {
+    pub fn note_success(&mut self, digest: RequestDigest, now_us: i64) -> bool {
         self.successful_runs.note(digest.whole, now_us);
         let record = self.records.get_mut(&digest.whole);
         record.is_some_and(|record| !record.counted_crashes().is_empty() && record.add_success(now_us))
@@ -111,7 +111,7 @@
 
     /// Merges the reports of another node. Returns the requests of which they have anything new, or of which this node
     /// knows a successful run that the reports lack.
-    pub fn take_news(&mut self, reports: &[CrashNews], now_us: i64) -> Vec<RequestDigest> {
+    pub fn merge_reports(&mut self, reports: &[CrashReport], now_us: i64) -> Vec<RequestDigest> {
         let mut changed = Vec::new();
         for report in reports.iter().take(RECORDS_MAX) {
             let record = self.record(report.digest, &report.service);
@@ -126,13 +126,13 @@
     }
 
     /// The reports on these requests for other nodes.
-    pub fn news_of(&self, digests: &[RequestDigest], now_us: i64) -> Vec<CrashNews> {
+    pub fn reports_of(&self, digests: &[RequestDigest], now_us: i64) -> Vec<CrashReport> {
         let records = digests.iter().filter_map(|digest| self.records.get(&digest.whole));
         records.map(|record| record.report(now_us)).collect()
     }
 
     /// The reports on all requests for other nodes.
-    pub fn all_news(&self, now_us: i64) -> Vec<CrashNews> {
+    pub fn all_reports(&self, now_us: i64) -> Vec<CrashReport> {
         self.records.values().map(|record| record.report(now_us)).collect()
     }
 
@@ -150,8 +150,10 @@
     }
 
     /// The current status of a request.
-    pub fn verdict(&self, digest: RequestDigest, now_us: i64) -> Verdict {
-        self.records.get(&digest.whole).map_or(Verdict::Harmless, |record| self.status_of(record, now_us))
+    pub fn quarantine_status(&self, digest: RequestDigest, now_us: i64) -> QuarantineStatus {
+        self.records
+            .get(&digest.whole)
+            .map_or(QuarantineStatus::Harmless, |record| self.status_of(record, now_us))
     }
 
     /// Whether crashes count against a request with this head. The body of another request with this head must be read
@@ -161,12 +163,12 @@
     }
 
     /// All requests with counted crashes.
-    pub fn states(&self, now_us: i64) -> Vec<CrashState> {
+    pub fn suspects(&self, now_us: i64) -> Vec<SuspectState> {
         let suspects = self.records.values().filter(|record| !record.counted_crashes().is_empty());
-        let state = |record: &CrashRecord| CrashState {
+        let state = |record: &CrashRecord| SuspectState {
             digest: record.digest,
             service: record.service.clone(),
-            verdict: self.status_of(record, now_us),
+            quarantine_status: self.status_of(record, now_us),
             ends: record.counted_crashes().len(),
             last_end_age_ms: u64::try_from(record.last_crash_age_us(now_us).unwrap_or(0) / 1_000)
                 .unwrap_or(0),
@@ -185,21 +187,23 @@
         record.is_some_and(|record| !record.counted_crashes().is_empty() && record.add_success(at_us))
     }
 
-    fn status_of(&self, record: &CrashRecord, now_us: i64) -> Verdict {
+    fn status_of(&self, record: &CrashRecord, now_us: i64) -> QuarantineStatus {
         let crashes = record.counted_crashes().len();
         if crashes == 0 {
-            return Verdict::Harmless;
+            return QuarantineStatus::Harmless;
         }
         if !self.is_quarantined(record) {
-            return Verdict::Suspected(crashes);
+            return QuarantineStatus::Suspected(crashes);
         }
         let Some(quarantine_us) = QUARANTINE_US.get(record.crash_bursts().saturating_sub(1)) else {
-            return Verdict::Held { retry_after_ms: UNLIMITED_RETRY_AFTER_MS };
+            return QuarantineStatus::Quarantined { retry_after_ms: UNLIMITED_RETRY_AFTER_MS };
         };
         let left_us = quarantine_us - record.last_crash_age_us(now_us).unwrap_or(0);
         match u64::try_from(left_us) {
-            Ok(left_us) if left_us > 0 => Verdict::Held { retry_after_ms: left_us.div_ceil(1_000) },
-            _ => Verdict::Trial,
+            Ok(left_us) if left_us > 0 => {
+                QuarantineStatus::Quarantined { retry_after_ms: left_us.div_ceil(1_000) }
+            }
+            _ => QuarantineStatus::HalfOpen,
         }
     }
 
--- a/crates/laurelstall_crash/src/lib.rs
+++ b/crates/laurelstall_crash/src/lib.rs
@@ -4,16 +4,16 @@
 
 pub mod crash_record;
 pub mod crash_table;
-pub mod good_runs;
 pub mod request_digest;
-pub mod run_watch;
+pub mod run_tracker;
+pub mod successful_runs;
 
 /// The most commonly used types.
 pub mod prelude {
     pub use crate::{
-        crash_record::{CrashEnd, CrashNews, CrashRecord},
-        crash_table::{CrashState, CrashTable, Verdict},
+        crash_record::{CrashRecord, CrashReport, TargetCrash},
+        crash_table::{CrashTable, QuarantineStatus, SuspectState},
         request_digest::{RequestDigest, RequestHead},
-        run_watch::{EndedRuns, RunId, RunWatch},
+        run_tracker::{CrashedRuns, RunId, RunTracker},
     };
 }
--- a/crates/laurelstall_crash/src/run_watch.rs
+++ b/crates/laurelstall_crash/src/run_tracker.rs
@@ -38,9 +38,9 @@
 
 /// The requests that were running when a target crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndedRuns {
+pub struct CrashedRuns {
     /// The number of the crash, counted from 1.
-    pub end: u64,
+    pub number: u64,
     /// Whether this is the first report of that crash.
     pub is_first: bool,
     /// The running requests that were not in an earlier report of that crash.
@@ -49,7 +49,7 @@
 
 /// Tracks the runs at one target.
 #[derive(Debug, Default)]
-pub struct RunWatch {
+pub struct RunTracker {
     next_id: u64,
     runs: BTreeMap<RunId, Run>,
     /// Number of crashes so far.
@@ -58,7 +58,7 @@
     is_crashed: bool,
 }
 
-impl RunWatch {
+impl RunTracker {
     /// Records that a request is being sent.
     pub fn start(&mut self, digest: RequestDigest, now_us: u64) -> RunId {
         self.forget_lost(now_us);
@@ -85,7 +85,7 @@
     }
 
     /// Records that nobody waits for the answer of the run any more.
-    pub fn note_given_up(&mut self, id: RunId, now_us: u64) {
+    pub fn note_abandoned(&mut self, id: RunId, now_us: u64) {
         if let Some(run) = self.runs.get_mut(&id) {
             run.state = RunState::Abandoned { at_us: now_us };
         }
@@ -99,14 +99,14 @@
     }
 
     /// Records that the target is alive although connections broke, and removes the broken runs.
-    pub fn note_survived(&mut self) {
+    pub fn note_alive_after_break(&mut self) {
         self.is_crashed = false;
         self.runs.retain(|_, run| !run.is_broken());
     }
 
     /// Records that the check after broken connections could not tell whether the target is alive. The broken runs
     /// still count for a crash that is detected shortly after.
-    pub fn note_unclear(&mut self, now_us: u64) {
+    pub fn note_unknown(&mut self, now_us: u64) {
         for run in self.runs.values_mut().filter(|run| run.is_broken()) {
             run.state = RunState::Abandoned { at_us: now_us };
         }
@@ -120,7 +120,7 @@
 
     /// Records a crash that was first noticed at `broken_us`, and removes and returns all runs that had started by
     /// then. Further reports belong to the same crash until the target is seen alive again.
-    pub fn note_ended(&mut self, broken_us: u64) -> EndedRuns {
+    pub fn note_crash(&mut self, broken_us: u64) -> CrashedRuns {
         self.forget_lost(broken_us);
         let is_first = !self.is_crashed;
         self.crashes += u64::from(is_first);
@@ -135,7 +135,7 @@
                 digests.push(run.digest);
             }
         }
-        EndedRuns { end: self.crashes, is_first, digests }
+        CrashedRuns { number: self.crashes, is_first, digests }
     }
 
     /// The number of tracked runs.
--- a/crates/laurelstall_crash/tests/blame_model.rs
+++ b/crates/laurelstall_crash/tests/blame_model.rs
@@ -5,8 +5,8 @@
 //! Crashes start after five seconds, because a service that has just started has no successful runs to clear them.
 
 use laurelstall_crash::{
-    crash_record::CrashEnd,
-    crash_table::{CrashTable, Verdict},
+    crash_record::TargetCrash,
+    crash_table::{CrashTable, QuarantineStatus},
     request_digest::RequestDigest,
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -128,8 +128,8 @@
     }
 
     fn is_quarantined(&self, number: u64, now_ms: i64) -> bool {
-        let verdict = self.table.verdict(digest(number), now_ms * 1_000);
-        matches!(verdict, Verdict::Held { .. } | Verdict::Trial)
+        let quarantine_status = self.table.quarantine_status(digest(number), now_ms * 1_000);
+        matches!(quarantine_status, QuarantineStatus::Quarantined { .. } | QuarantineStatus::HalfOpen)
     }
 
     fn arrive(&mut self, number: u64, is_repeat: bool, run_ms: i64, now_ms: i64) {
@@ -157,7 +157,7 @@
                     self.outcome.deadly_crashes += 1;
                     break;
                 }
-                self.table.note_good(digest(run.digest), now_ms * 1_000);
+                self.table.note_success(digest(run.digest), now_ms * 1_000);
             }
         }
     }
@@ -207,8 +207,8 @@
             let before =
                 numbers.iter().map(|number| self.is_quarantined(*number, now_ms)).collect::<Vec<_>>();
             let digests = numbers.iter().map(|number| digest(*number)).collect::<Vec<_>>();
-            let crash = CrashEnd { id, at_us: (now_ms - REPORT_DELAY_MS) * 1_000 };
-            self.table.note_end(crash, SERVICE, &digests, now_ms * 1_000);
+            let crash = TargetCrash { id, at_us: (now_ms - REPORT_DELAY_MS) * 1_000 };
+            self.table.note_crash(crash, SERVICE, &digests, now_ms * 1_000);
             for (number, was_quarantined) in numbers.iter().zip(before) {
                 if !was_quarantined && self.is_quarantined(*number, now_ms) {
                     self.note_quarantined(*number, now_ms);
--- a/crates/laurelstall_crash/tests/crash_table.rs
+++ b/crates/laurelstall_crash/tests/crash_table.rs
@@ -1,8 +1,8 @@
 //! Which requests are quarantined and for how long, and that all nodes reach the same decision.
 
 use laurelstall_crash::{
-    crash_record::{CrashEnd, CrashNews, EndNews},
-    crash_table::{CrashTable, Verdict},
+    crash_record::{CrashReport, ReportedCrash, TargetCrash},
+    crash_table::{CrashTable, QuarantineStatus},
     request_digest::RequestDigest,
 };
 
@@ -15,24 +15,24 @@
 
 fn crash(table: &mut CrashTable, id: u64, at_s: i64, numbers: &[u64]) {
     let digests = numbers.iter().map(|number| digest(*number)).collect::<Vec<_>>();
-    table.note_end(CrashEnd { id, at_us: at_s * S }, SERVICE, &digests, at_s * S);
+    table.note_crash(TargetCrash { id, at_us: at_s * S }, SERVICE, &digests, at_s * S);
 }
 
 fn is_quarantined(table: &CrashTable, number: u64, now_s: i64) -> bool {
-    matches!(table.verdict(digest(number), now_s * S), Verdict::Held { .. })
+    matches!(table.quarantine_status(digest(number), now_s * S), QuarantineStatus::Quarantined { .. })
 }
 
 #[test]
 fn a_request_is_quarantined_after_two_crashes_but_not_after_one() {
     let mut table = CrashTable::default();
     crash(&mut table, 1, 10, &[1, 2, 3]);
-    assert_eq!(table.verdict(digest(1), 10 * S), Verdict::Suspected(1));
+    assert_eq!(table.quarantine_status(digest(1), 10 * S), QuarantineStatus::Suspected(1));
     crash(&mut table, 2, 11, &[1, 4]);
     assert!(is_quarantined(&table, 1, 11));
     for number in [2, 3, 4] {
-        assert_eq!(table.verdict(digest(number), 11 * S), Verdict::Suspected(1));
+        assert_eq!(table.quarantine_status(digest(number), 11 * S), QuarantineStatus::Suspected(1));
     }
-    assert_eq!(table.verdict(digest(5), 11 * S), Verdict::Harmless);
+    assert_eq!(table.quarantine_status(digest(5), 11 * S), QuarantineStatus::Harmless);
 }
 
 #[test]
@@ -40,24 +40,24 @@
     let mut table = CrashTable::default();
     crash(&mut table, 1, 10, &[1]);
     crash(&mut table, 1, 12, &[1]);
-    assert_eq!(table.verdict(digest(1), 12 * S), Verdict::Suspected(1));
+    assert_eq!(table.quarantine_status(digest(1), 12 * S), QuarantineStatus::Suspected(1));
 }
 
 #[test]
 fn a_successful_run_shortly_before_several_crashes_clears_a_request() {
     let mut table = CrashTable::default();
-    table.note_good(digest(1), 10 * S);
+    table.note_success(digest(1), 10 * S);
     for id in 1..=4 {
         crash(&mut table, id, 11, &[1, 2]);
     }
-    assert_eq!(table.verdict(digest(1), 11 * S), Verdict::Harmless);
+    assert_eq!(table.quarantine_status(digest(1), 11 * S), QuarantineStatus::Harmless);
     assert!(is_quarantined(&table, 2, 11), "this request has no successful run");
 }
 
 #[test]
 fn a_request_that_succeeded_before_is_quarantined_after_four_crashes() {
     let mut table = CrashTable::default();
-    table.note_good(digest(1), 10 * S);
+    table.note_success(digest(1), 10 * S);
     for id in 1..=4 {
         assert!(!is_quarantined(&table, 1, 13));
         crash(&mut table, id, 13, &[1]);
@@ -70,25 +70,25 @@
     let (mut one, mut two) = (CrashTable::default(), CrashTable::default());
     crash(&mut one, 1, 10, &[1]);
     crash(&mut one, 2, 11, &[1]);
-    two.take_news(&one.all_news(11 * S), 111 * S);
+    two.merge_reports(&one.all_reports(11 * S), 111 * S);
     assert!(is_quarantined(&two, 1, 111));
-    assert!(two.note_good(digest(1), 112 * S));
-    assert_eq!(two.verdict(digest(1), 112 * S), Verdict::Harmless);
-    assert_eq!(one.take_news(&two.all_news(112 * S), 12 * S), vec![digest(1)]);
-    assert_eq!(one.verdict(digest(1), 12 * S), Verdict::Harmless);
+    assert!(two.note_success(digest(1), 112 * S));
+    assert_eq!(two.quarantine_status(digest(1), 112 * S), QuarantineStatus::Harmless);
+    assert_eq!(one.merge_reports(&two.all_reports(112 * S), 12 * S), vec![digest(1)]);
+    assert_eq!(one.quarantine_status(digest(1), 12 * S), QuarantineStatus::Harmless);
     assert_eq!(one.hash(), two.hash());
 }
 
 #[test]
 fn a_node_with_a_successful_run_reports_it_in_return_for_a_crash() {
     let (mut witness, mut other) = (CrashTable::default(), CrashTable::default());
-    other.note_good(digest(1), 10 * S);
+    other.note_success(digest(1), 10 * S);
     crash(&mut witness, 1, 10, &[1]);
     crash(&mut witness, 2, 10, &[1]);
     assert!(is_quarantined(&witness, 1, 10));
-    assert_eq!(other.take_news(&witness.all_news(10 * S), 10 * S), vec![digest(1)]);
-    witness.take_news(&other.all_news(10 * S), 10 * S);
-    assert_eq!(witness.verdict(digest(1), 10 * S), Verdict::Harmless);
+    assert_eq!(other.merge_reports(&witness.all_reports(10 * S), 10 * S), vec![digest(1)]);
+    witness.merge_reports(&other.all_reports(10 * S), 10 * S);
+    assert_eq!(witness.quarantine_status(digest(1), 10 * S), QuarantineStatus::Harmless);
 }
 
 #[test]
@@ -98,19 +98,20 @@
         let id = index as u64 + 1;
         crash(witness, id, 10, &[7, 10 + id]);
     }
-    let reports = witnesses.iter().map(|witness| witness.all_news(10 * S)).collect::<Vec<Vec<CrashNews>>>();
+    let reports =
+        witnesses.iter().map(|witness| witness.all_reports(10 * S)).collect::<Vec<Vec<CrashReport>>>();
     let orders = [[0, 1, 2, 0], [2, 1, 0, 2], [1, 1, 2, 0]];
     let tables = orders.map(|order| {
         let mut table = CrashTable::default();
         for index in order {
-            table.take_news(&reports[index], 10 * S);
+            table.merge_reports(&reports[index], 10 * S);
         }
         table
     });
     for table in &tables {
         assert_eq!(table.hash(), tables[0].hash());
         assert!(is_quarantined(table, 7, 10));
-        assert_eq!(table.states(10 * S)[0].ends, 3);
+        assert_eq!(table.suspects(10 * S)[0].ends, 3);
     }
 }
 
@@ -119,11 +120,11 @@
     let (mut old, mut young) = (CrashTable::default(), CrashTable::default());
     crash(&mut old, 1, 100, &[1]);
     crash(&mut old, 2, 101, &[1]);
-    young.take_news(&old.all_news(200 * S), S);
-    let Verdict::Held { retry_after_ms } = young.verdict(digest(1), S) else {
+    young.merge_reports(&old.all_reports(200 * S), S);
+    let QuarantineStatus::Quarantined { retry_after_ms } = young.quarantine_status(digest(1), S) else {
         panic!("the request is not quarantined")
     };
-    assert_eq!(old.verdict(digest(1), 200 * S), Verdict::Held { retry_after_ms });
+    assert_eq!(old.quarantine_status(digest(1), 200 * S), QuarantineStatus::Quarantined { retry_after_ms });
 }
 
 #[test]
@@ -136,7 +137,7 @@
     for quarantine_s in [300, 3_600, 43_200] {
         assert!(is_quarantined(&table, 1, now_s + quarantine_s - 1));
         now_s += quarantine_s;
-        assert_eq!(table.verdict(digest(1), now_s * S), Verdict::Trial);
+        assert_eq!(table.quarantine_status(digest(1), now_s * S), QuarantineStatus::HalfOpen);
         trials += 1;
         crash(&mut table, 2 + trials, now_s, &[1]);
     }
@@ -149,7 +150,7 @@
     crash(&mut table, 1, 10, &[1]);
     crash(&mut table, 2, 11, &[1]);
     assert_eq!(table.release(1, 12 * S), Some(digest(1)));
-    assert_eq!(table.verdict(digest(1), 12 * S), Verdict::Harmless);
+    assert_eq!(table.quarantine_status(digest(1), 12 * S), QuarantineStatus::Harmless);
     assert_eq!(table.release(1, 12 * S), None);
     crash(&mut table, 3, 13, &[1]);
     crash(&mut table, 4, 13, &[1]);
@@ -175,7 +176,7 @@
         let running = harmless.chain([1]).collect::<Vec<_>>();
         crash(&mut table, id, 10 + id as i64, &running);
     }
-    assert!(table.all_news(300 * S).len() <= 256);
+    assert!(table.all_reports(300 * S).len() <= 256);
     assert!(is_quarantined(&table, 1, 210));
 }
 
@@ -184,7 +185,7 @@
     let mut table = CrashTable::default();
     crash(&mut table, 1, 10, &[1]);
     crash(&mut table, 2, 700, &[2]);
-    assert_eq!(table.all_news(700 * S).len(), 1);
+    assert_eq!(table.all_reports(700 * S).len(), 1);
 }
 
 /// An arbitrary report: request, ids and ages of crashes, ages of the last successful run and release.
@@ -197,20 +198,20 @@
         let mut now_us = S;
         for (passed_ms, reports) in steps {
             now_us += i64::from(*passed_ms) * 1_000;
-            let reports = reports.iter().map(|(number, ends, good_run_age_ms, release_age_ms)| CrashNews {
+            let reports = reports.iter().map(|(number, ends, good_run_age_ms, release_age_ms)| CrashReport {
                 digest: digest(u64::from(*number)),
                 service: SERVICE.to_owned(),
-                ends: ends.iter().map(|(id, age_ms)| EndNews { id: *id, age_ms: *age_ms }).collect(),
+                ends: ends.iter().map(|(id, age_ms)| ReportedCrash { id: *id, age_ms: *age_ms }).collect(),
                 good_run_age_ms: *good_run_age_ms,
                 release_age_ms: *release_age_ms,
             });
-            table.take_news(&reports.collect::<Vec<_>>(), now_us);
-            table.note_end(CrashEnd { id: 1, at_us: now_us }, SERVICE, &[digest(1)], now_us);
-            for state in table.states(now_us) {
-                table.verdict(state.digest, now_us);
+            table.merge_reports(&reports.collect::<Vec<_>>(), now_us);
+            table.note_crash(TargetCrash { id: 1, at_us: now_us }, SERVICE, &[digest(1)], now_us);
+            for state in table.suspects(now_us) {
+                table.quarantine_status(state.digest, now_us);
             }
-            assert!(table.all_news(now_us).len() <= 256);
-            assert!(table.all_news(now_us).iter().all(|report| report.ends.len() <= 16));
+            assert!(table.all_reports(now_us).len() <= 256);
+            assert!(table.all_reports(now_us).iter().all(|report| report.ends.len() <= 16));
         }
     });
 }
--- a/crates/laurelstall_guard/src/guard.rs
+++ b/crates/laurelstall_guard/src/guard.rs
@@ -9,7 +9,7 @@
     sharer_loads::SharerLoads,
     wait_queue::{QueueKey, Wake},
 };
-use laurelstall_balance::hint::USUAL_PERCENT;
+use laurelstall_balance::hint::NORMAL_PERCENT;
 use permit::{PermitOwner, Run};
 use state::{QueryState, State};
 use std::sync::{
@@ -128,7 +128,7 @@
         let state = self.lock();
         let oldest_us = state.running.values().next().map_or(0, |start| now_us.saturating_sub(*start));
         let slowness_percent = state.speed.slowness_percent(now_us);
-        let oldest_usual_us = oldest_us * u64::from(USUAL_PERCENT) / u64::from(slowness_percent);
+        let oldest_usual_us = oldest_us * u64::from(NORMAL_PERCENT) / u64::from(slowness_percent);
         GuardLoad {
             in_flight: state.running.len() as u32,
             queued: state.queue.len() as u32,
@@ -422,7 +422,7 @@
         state.end(run.number, run.is_sent);
         let slowness_percent = state.speed.slowness_percent(now_us);
         let run_us = now_us.saturating_sub(run.start_us) as f64;
-        let usual_us = run_us * f64::from(USUAL_PERCENT) / f64::from(slowness_percent);
+        let usual_us = run_us * f64::from(NORMAL_PERCENT) / f64::from(slowness_percent);
         if run.is_counted {
             state.note_run(usual_us);
         }
--- a/crates/laurelstall_guard/src/guard/state.rs
+++ b/crates/laurelstall_guard/src/guard/state.rs
@@ -10,7 +10,7 @@
     start_decision::{SlotDemand, StartCandidate, StartDecision, StartForecast},
     wait_queue::{QueueKey, WaitQueue, Wake},
 };
-use laurelstall_balance::hint::USUAL_PERCENT;
+use laurelstall_balance::hint::NORMAL_PERCENT;
 use std::collections::BTreeMap;
 
 /// Assumed run time before the first request, in µs.
@@ -411,6 +411,6 @@
 
     /// Returns how long work takes outside of slow phases, relative to normal.
     fn quick_factor(&self, now_us: u64) -> f64 {
-        f64::from(self.speed.quick_percent(now_us)) / f64::from(USUAL_PERCENT)
+        f64::from(self.speed.quick_percent(now_us)) / f64::from(NORMAL_PERCENT)
     }
 }
--- a/crates/laurelstall_guard/src/pace.rs
+++ b/crates/laurelstall_guard/src/pace.rs
@@ -1,7 +1,7 @@
 //! Speed of a target: its last report, and a forecast of its speed after that.
 
 use crate::phase_times::PhaseTimes;
-use laurelstall_balance::hint::USUAL_PERCENT;
+use laurelstall_balance::hint::NORMAL_PERCENT;
 use std::ops::RangeInclusive;
 
 /// Age above which a report is ignored, in µs; neighbours on the host come and go faster than this.
@@ -97,13 +97,13 @@
     /// Returns how long work takes now, in percent of normal; 100 when there is no recent report.
     pub fn slowness_percent(&self, now_us: u64) -> u32 {
         let fresh = self.report.filter(|report| now_us.saturating_sub(report.at_us) <= REPORT_AGE_MAX_US);
-        fresh.map_or(USUAL_PERCENT, |report| report.slowness_percent)
+        fresh.map_or(NORMAL_PERCENT, |report| report.slowness_percent)
     }
 
     /// Returns how long work takes outside of slow phases, in percent of normal.
     pub fn quick_percent(&self, now_us: u64) -> u32 {
         let is_known = self.age_us(now_us).is_some_and(|age_us| age_us <= REPORT_AGE_MAX_US);
-        if is_known { self.best_percent() as u32 } else { USUAL_PERCENT }
+        if is_known { self.best_percent() as u32 } else { NORMAL_PERCENT }
     }
 
     /// Returns the age of the last report in µs; `None` when there was none.
@@ -126,7 +126,7 @@
         let age_us = now_us.saturating_sub(report.at_us);
         let is_slow = self.is_slow(report.slowness_percent);
         let current_ratio = f64::from(report.slowness_percent) / self.best_percent();
-        let quick_factor = self.best_percent() / f64::from(USUAL_PERCENT);
+        let quick_factor = self.best_percent() / f64::from(NORMAL_PERCENT);
         SpeedForecast {
             quick_factor,
             slow_ratio: if is_slow { current_ratio } else { mean_ratio },
@@ -162,7 +162,7 @@
     }
 
     fn best_percent(&self) -> f64 {
-        f64::from(self.best.percent().unwrap_or(USUAL_PERCENT))
+        f64::from(self.best.percent().unwrap_or(NORMAL_PERCENT))
     }
 
     fn note_slow_ratio(&mut self, ratio: f64) {
--- a/crates/laurelstall_guard/src/refusal.rs
+++ b/crates/laurelstall_guard/src/refusal.rs
@@ -1,6 +1,6 @@
 //! Reasons for which an attempt was not run, and what an entry does after each.
 
-use laurelstall_balance::hint::USUAL_PERCENT;
+use laurelstall_balance::hint::NORMAL_PERCENT;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -191,7 +191,7 @@
 impl Refusal {
     /// Creates a refusal for `reason` without further details.
     pub fn new(reason: RefusalReason) -> Self {
-        Self { reason, retry_after_ms: 0, slowness_percent: USUAL_PERCENT }
+        Self { reason, retry_after_ms: 0, slowness_percent: NORMAL_PERCENT }
     }
 
     /// Returns the refusal with `retry_after_ms` set.
--- a/crates/laurelstall_node/benches/decisions.rs
+++ b/crates/laurelstall_node/benches/decisions.rs
@@ -4,8 +4,8 @@
 use http::HeaderMap;
 use laurelstall_balance::{
     hint::{Hint, TargetState},
-    least_wait::LeastWait,
-    service_balancer::{Choosing, ServiceBalancer},
+    least_cost::LeastCost,
+    service_balancer::{ChoiceRequest, ServiceBalancer},
     target_view::TargetView,
 };
 use laurelstall_config::{document::Version, settings::DecisionFormat, team::ServiceLimits};
@@ -37,7 +37,7 @@
 
 fn balancer(targets: usize) -> ServiceBalancer {
     let limits = ServiceLimits::default();
-    let mut balancer = ServiceBalancer::new(limits, Box::new(LeastWait::default()), 1);
+    let mut balancer = ServiceBalancer::new(limits, Box::new(LeastCost::default()), 1);
     let view = |n: usize| TargetView::new(&format!("target-{n}"), &format!("host-{n}"), 12, 100, 0);
     balancer.set_targets(limits, (0..targets).map(view).collect());
     balancer
@@ -59,15 +59,15 @@
     for targets in [4, 18, 550] {
         let mut balancer = balancer(targets);
         for index in 0..targets {
-            balancer.take_hint(index, &format!("target-{index}"), hint(index as u32 % 12), 1_000_000);
+            balancer.update_hint(index, &format!("target-{index}"), hint(index as u32 % 12), 1_000_000);
         }
-        let choosing = Choosing {
+        let choosing = ChoiceRequest {
             excluded: &[],
             only: None,
             data_centres: None,
             class: 0,
             useful_us: None,
-            may_leave_free: false,
+            waives_remote_cost: false,
             now_us: 1_001_000,
         };
         criterion.bench_function(&format!("choice among {targets}"), |b| {
@@ -79,7 +79,7 @@
 fn hint_update(criterion: &mut Criterion) {
     let mut balancer = balancer(550);
     criterion.bench_function("hint update", |b| {
-        b.iter(|| balancer.take_hint(77, "target-77", black_box(hint(3)), 1_000_000))
+        b.iter(|| balancer.update_hint(77, "target-77", black_box(hint(3)), 1_000_000))
     });
 }
 
@@ -132,15 +132,15 @@
     let registry = CrashRegistry::new(Clock::new());
     let digest = RequestDigest::of_whole(&head, &body);
     criterion.bench_function("verdict, while nothing is held back", |b| {
-        b.iter(|| registry.verdict(black_box(digest)));
+        b.iter(|| registry.quarantine_status(black_box(digest)));
     });
-    criterion.bench_function("good run noted", |b| b.iter(|| registry.note_good(black_box(digest))));
+    criterion.bench_function("good run noted", |b| b.iter(|| registry.note_success(black_box(digest))));
     for end in 0..40 {
         let digests = (0..12).map(|number| RequestDigest { whole: 100 * end + number, head: 1 });
         registry.note_end(end, "team/service", &digests.collect::<Vec<_>>());
     }
     criterion.bench_function("verdict, with 256 requests known", |b| {
-        b.iter(|| registry.verdict(black_box(digest)));
+        b.iter(|| registry.quarantine_status(black_box(digest)));
     });
 }
 
--- a/crates/laurelstall_node/src/admin.rs
+++ b/crates/laurelstall_node/src/admin.rs
@@ -25,7 +25,7 @@
     problem::Problem,
     settings::{Role, TokenSettings},
 };
-use laurelstall_crash::crash_table::{CrashState, Verdict};
+use laurelstall_crash::crash_table::{QuarantineStatus, SuspectState};
 use laurelstall_peer::{body::AnswerBody, spread::Spread};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json as value};
@@ -133,13 +133,13 @@
     retry_after_ms: Option<u64>,
 }
 
-impl From<CrashState> for QuarantineRow {
-    fn from(state: CrashState) -> Self {
-        let (state_name, retry_after_ms) = match state.verdict {
-            Verdict::Harmless => ("harmless", None),
-            Verdict::Suspected(_) => ("suspected", None),
-            Verdict::Held { retry_after_ms } => ("held", Some(retry_after_ms)),
-            Verdict::Trial => ("trial", None),
+impl From<SuspectState> for QuarantineRow {
+    fn from(state: SuspectState) -> Self {
+        let (state_name, retry_after_ms) = match state.quarantine_status {
+            QuarantineStatus::Harmless => ("harmless", None),
+            QuarantineStatus::Suspected(_) => ("suspected", None),
+            QuarantineStatus::Quarantined { retry_after_ms } => ("held", Some(retry_after_ms)),
+            QuarantineStatus::HalfOpen => ("trial", None),
         };
         Self {
             digest: state.digest.to_string(),
--- a/crates/laurelstall_node/src/call/choosing.rs
+++ b/crates/laurelstall_node/src/call/choosing.rs
@@ -1,7 +1,7 @@
 //! Chooses the target of an attempt and the options sent to its guard.
 
 use super::{Call, Destination};
-use laurelstall_balance::service_balancer::Choosing;
+use laurelstall_balance::service_balancer::ChoiceRequest;
 
 /// Age in µs below which a load hint is not requested again.
 const HINT_FRESH_US: u64 = 15_000;
@@ -16,15 +16,15 @@
         let only = self.request.ticket.as_ref().map(|ticket| ticket.target.as_str());
         let useful_us = self.request.useful_until_us.map(|until_us| until_us.saturating_sub(now_us));
         let class = self.request.class;
-        let may_leave_free = self.refusals > 0;
+        let waives_remote_cost = self.refusals > 0;
         let data_centres = self.request.data_centres.as_deref();
-        let choosing = Choosing {
+        let choosing = ChoiceRequest {
             excluded: &self.excluded,
             only,
             data_centres,
             class,
             useful_us,
-            may_leave_free,
+            waives_remote_cost,
             now_us,
         };
         let mut balancer = self.service.balancer();
--- a/crates/laurelstall_node/src/call/holding.rs
+++ b/crates/laurelstall_node/src/call/holding.rs
@@ -1,7 +1,7 @@
 //! Refuses calls whose requests are quarantined because they crash targets.
 
 use super::Call;
-use laurelstall_crash::{crash_record::CrashNews, crash_table::Verdict};
+use laurelstall_crash::{crash_record::CrashReport, crash_table::QuarantineStatus};
 use laurelstall_guard::refusal::{Refusal, RefusalReason};
 use laurelstall_peer::partners::is_tried_by;
 
@@ -15,9 +15,9 @@
 impl Call<'_> {
     /// Returns the refusal of a quarantined request; `None` if the request may be sent.
     pub(super) fn quarantine_refusal(&self) -> Option<Refusal> {
-        let retry_after_ms = match self.context.crashes.verdict(self.request.digest) {
-            Verdict::Held { retry_after_ms } => retry_after_ms,
-            Verdict::Trial if !self.begin_local_trial() => TRIAL_ELSEWHERE_RETRY_MS,
+        let retry_after_ms = match self.context.crashes.quarantine_status(self.request.digest) {
+            QuarantineStatus::Quarantined { retry_after_ms } => retry_after_ms,
+            QuarantineStatus::HalfOpen if !self.begin_local_trial() => TRIAL_ELSEWHERE_RETRY_MS,
             _ => return None,
         };
         let refusal = Refusal::new(RefusalReason::Held);
@@ -32,13 +32,13 @@
     }
 
     /// Whether a request during which a target has just crashed must not be retried.
-    pub(super) fn is_crash_suspect(&self, report: Option<CrashNews>) -> bool {
+    pub(super) fn is_crash_suspect(&self, report: Option<CrashReport>) -> bool {
         let crashes = &self.context.crashes;
         crashes.take_news(report.as_slice());
-        match crashes.verdict(self.request.digest) {
-            Verdict::Harmless => false,
-            Verdict::Suspected(crash_count) => crash_count > RETRIED_CRASHES_MAX,
-            Verdict::Held { .. } | Verdict::Trial => true,
+        match crashes.quarantine_status(self.request.digest) {
+            QuarantineStatus::Harmless => false,
+            QuarantineStatus::Suspected(crash_count) => crash_count > RETRIED_CRASHES_MAX,
+            QuarantineStatus::Quarantined { .. } | QuarantineStatus::HalfOpen => true,
         }
     }
 }
--- a/crates/laurelstall_node/src/call/judging.rs
+++ b/crates/laurelstall_node/src/call/judging.rs
@@ -103,7 +103,7 @@
             return self.refusals < NESTED_REFUSALS_MAX;
         }
         let now_us = self.context.clock.now_us();
-        self.refusals < self.request.route.tries && self.service.balancer().may_move(now_us)
+        self.refusals < self.request.route.tries && self.service.balancer().may_reroute(now_us)
     }
 
     /// Whether the call may make another attempt, within the `tries` of its route and the service's retry budget.
--- a/crates/laurelstall_node/src/call/notes.rs
+++ b/crates/laurelstall_node/src/call/notes.rs
@@ -14,7 +14,7 @@
         let took_us = now_us.saturating_sub(destination.sent_at_us);
         if let Some(hint) = answer.hint {
             let index = destination.choice.index;
-            self.service.balancer().take_hint(index, &destination.name, hint, now_us);
+            self.service.balancer().update_hint(index, &destination.name, hint, now_us);
         }
         if let AttemptOutcome::NotRun(refusal) = &answer.outcome {
             self.record_refusal(destination, refusal, now_us);
@@ -23,7 +23,7 @@
             AttemptOutcome::Answered { status, .. } if status.is_server_error() => {
                 (AttemptResult::Failed, "error")
             }
-            AttemptOutcome::Answered { .. } => (AttemptResult::Good(took_us), "answered"),
+            AttemptOutcome::Answered { .. } => (AttemptResult::Succeeded(took_us), "answered"),
             AttemptOutcome::NotRun(refusal) => {
                 let facts = refusal.reason.facts();
                 let is_failure = facts.lesson == Lesson::Fails;
@@ -43,13 +43,13 @@
         let facts = refusal.reason.facts();
         let mut balancer = self.service.balancer();
         if facts.has_arrived() && self.attempts == 1 {
-            balancer.note_turned_away(now_us);
+            balancer.note_rejected(now_us);
         }
         match facts.lesson {
             Lesson::IsFull => balancer.note_queueing(index, name, true, now_us),
             Lesson::SomeWait => balancer.note_queueing(index, name, false, now_us),
             Lesson::IsSlow => balancer.note_slow(index, name, refusal.slowness_percent, now_us),
-            Lesson::HasNoPlace => balancer.note_no_place(index, name, refusal.retry_after_ms, now_us),
+            Lesson::HasNoPlace => balancer.note_cold_limit(index, name, refusal.retry_after_ms, now_us),
             Lesson::Drains => balancer.note_draining(index, name, now_us),
             Lesson::IsAbsent => balancer.note_absent(index, name, refusal.retry_after_ms, now_us),
             // A failure is recorded with the result of the attempt.
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -18,7 +18,7 @@
 };
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, Response, StatusCode, request::Parts};
-use laurelstall_balance::{service_balancer::Choosing, usual_budgets::UsualBudgets};
+use laurelstall_balance::{service_balancer::ChoiceRequest, typical_budgets::TypicalBudgets};
 use laurelstall_config::{document::DocumentName, route::RouteRule, team::Team};
 use laurelstall_guard::{
     refusal::{Refusal, RefusalReason},
@@ -71,7 +71,7 @@
     /// Limits on callers.
     pub limits: Arc<CallerRules>,
     /// Time budgets that callers usually set, used to recognise retries.
-    pub budgets: Mutex<UsualBudgets>,
+    pub budgets: Mutex<TypicalBudgets>,
     /// Whether the node is stopping; responses over HTTP/1 then carry `connection: close`.
     pub is_stopping: AtomicBool,
     /// Times of the first call and the first answer.
@@ -391,13 +391,13 @@
         let mut excluded = Vec::new();
         loop {
             let now_us = self.context.clock.now_us();
-            let choosing = Choosing {
+            let choosing = ChoiceRequest {
                 excluded: &excluded,
                 only: None,
                 data_centres: None,
                 class: 0,
                 useful_us: None,
-                may_leave_free: false,
+                waives_remote_cost: false,
                 now_us,
             };
             let chosen = {
--- a/crates/laurelstall_node/src/entry/authorizing.rs
+++ b/crates/laurelstall_node/src/entry/authorizing.rs
@@ -10,7 +10,7 @@
 use http::{StatusCode, request::Parts};
 use laurelstall_config::{team::Team, workspace::Workspace};
 use laurelstall_policy::plan::Route;
-use laurelstall_workspace::key_directory::{KeyDirectory, KeyVerdict};
+use laurelstall_workspace::key_directory::{KeyDirectory, KeyLookup};
 use std::sync::Arc;
 
 /// Retry delay in ms for calls that cannot be authorized yet because keys or hosts are not up to date.
@@ -68,7 +68,7 @@
         parts: &Parts,
         route: &Route,
     ) -> Result<Authorization, Rejection> {
-        let Some(directory) = in_force.keys.get(&team.team).filter(|directory| directory.knows_keys()) else {
+        let Some(directory) = in_force.keys.get(&team.team).filter(|directory| directory.uses_keys()) else {
             return Ok(Authorization::Granted(Caller::default()));
         };
         let key = bearer_key(&parts.headers);
@@ -82,20 +82,20 @@
             return Ok(Authorization::Deferred(deferred("keys are not known to be up to date")));
         }
         let counters = &self.context.counters;
-        match directory.judge(key, route.is_public) {
-            KeyVerdict::Of(workspace) => Ok(Authorization::Granted(Caller {
+        match directory.look_up(key, route.is_public) {
+            KeyLookup::Workspace(workspace) => Ok(Authorization::Granted(Caller {
                 workspace: Some(workspace),
                 has_key: true,
                 team_has_keys: true,
             })),
-            KeyVerdict::OfNone => {
+            KeyLookup::NoWorkspace => {
                 Ok(Authorization::Granted(Caller { team_has_keys: true, ..Caller::default() }))
             }
-            KeyVerdict::Missing => {
+            KeyLookup::Missing => {
                 count(&counters.keys_missing);
                 Err(Rejection::new(StatusCode::UNAUTHORIZED, "a key is needed"))
             }
-            KeyVerdict::Unknown => {
+            KeyLookup::Unknown => {
                 count(&counters.keys_unknown);
                 Err(Rejection::new(StatusCode::UNAUTHORIZED, "no workspace has this key"))
             }
--- a/crates/laurelstall_node/src/node.rs
+++ b/crates/laurelstall_node/src/node.rs
@@ -23,7 +23,7 @@
 };
 use arc_swap::ArcSwap;
 use futures_util::future::{BoxFuture, FutureExt};
-use laurelstall_balance::least_wait::LeastWait;
+use laurelstall_balance::least_cost::LeastCost;
 use laurelstall_config::{fleet::Fleet, settings::Settings};
 use laurelstall_guard::{
     clock::Clock,
@@ -119,7 +119,7 @@
 impl NodeOptions {
     /// Default options for a node that runs next to a target.
     pub fn new(settings: Settings, listeners: Listeners) -> Self {
-        let chooser: ChooserFactory = Arc::new(|| Box::new(LeastWait::default()));
+        let chooser: ChooserFactory = Arc::new(|| Box::new(LeastCost::default()));
         Self {
             settings,
             listeners,
--- a/crates/laurelstall_node/src/observer.rs
+++ b/crates/laurelstall_node/src/observer.rs
@@ -97,7 +97,7 @@
                 let stalest = service.stalest(now_us, PROBE_AGE_US, has_connection);
                 let Some((index, name, address)) = stalest else { continue };
                 if let Some(hint) = self.ask(client, address).await {
-                    service.balancer().take_hint(index, &name, hint, self.clock.now_us());
+                    service.balancer().update_hint(index, &name, hint, self.clock.now_us());
                 }
             }
         }
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -14,7 +14,7 @@
 use laurelstall_workspace::{
     owned_shares::{Grant, OwnedShares, ShareKey},
     quota_split::QuotaSplit,
-    share_order::{ShareOrder, ShareState},
+    share_owner_list::{ShareOwner, ShareOwnerList},
 };
 use rand::seq::IndexedRandom;
 use std::{
@@ -116,7 +116,7 @@
 /// State of a workspace whose callers use this node.
 #[derive(Debug, Default)]
 struct WorkspaceState {
-    order: ShareOrder,
+    order: ShareOwnerList,
     counts: WorkspaceCounts,
 }
 
@@ -181,7 +181,7 @@
             let grant = self.request_token(state, &key).await;
             let now_us = self.options.clock.now_us();
             let Some(grant) = grant else {
-                self.with_owner_order(workspace, |order| order.note_unreached(state.share, now_us));
+                self.with_owner_order(workspace, |order| order.note_unreachable(state.share, now_us));
                 continue;
             };
             if grant.tokens > 0 {
@@ -278,7 +278,7 @@
     }
 
     /// Requests one token of a share from its owner; `None` if it does not answer or does not own the share.
-    async fn request_token(&self, state: &ShareState, key: &ShareKey) -> Option<Grant> {
+    async fn request_token(&self, state: &ShareOwner, key: &ShareKey) -> Option<Grant> {
         if state.host == self.options.host {
             return self.grant(key, 1);
         }
@@ -300,16 +300,16 @@
     }
 
     /// Returns the share owners to request a token from, in order.
-    fn owners_in_order(&self, fleet: &Arc<Fleet>, workspace: &str, split: &QuotaSplit) -> Vec<ShareState> {
+    fn owners_in_order(&self, fleet: &Arc<Fleet>, workspace: &str, split: &QuotaSplit) -> Vec<ShareOwner> {
         let now_us = self.options.clock.now_us();
         let data_centre = &self.options.data_centre;
         self.with_owner_order(workspace, |order| {
             order.set_fleet(fleet, workspace, split.shares, data_centre);
-            order.to_ask(now_us)
+            order.owners_to_ask(now_us)
         })
     }
 
-    fn with_owner_order<T>(&self, workspace: &str, change: impl FnOnce(&mut ShareOrder) -> T) -> T {
+    fn with_owner_order<T>(&self, workspace: &str, change: impl FnOnce(&mut ShareOwnerList) -> T) -> T {
         let mut workspaces = self.workspaces();
         change(&mut workspaces.entry(workspace.to_owned()).or_default().order)
     }
--- a/crates/laurelstall_node/src/services.rs
+++ b/crates/laurelstall_node/src/services.rs
@@ -67,7 +67,8 @@
             let host = configuration.host(&target.host);
             view.data_centre = host.map(|host| host.data_centre.clone()).unwrap_or_default();
             let is_far = host.is_some_and(|host| host.data_centre != location.data_centre);
-            view.change_percent = if is_far { configuration.system.data_centre_change_percent } else { 0 };
+            view.remote_cost_percent =
+                if is_far { configuration.system.data_centre_change_percent } else { 0 };
             view.is_live = host.is_some_and(|host| configuration.fleet.takes_calls(host));
             view
         });
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -18,7 +18,7 @@
     settings::TargetSettings,
     team::{Service, ServiceLimits, Target},
 };
-use laurelstall_crash::{crash_record::CrashNews, run_watch::RunWatch};
+use laurelstall_crash::{crash_record::CrashReport, run_tracker::RunTracker};
 use laurelstall_guard::{
     ask::{Ask, Rank, Sharer},
     clock::Clock,
@@ -83,7 +83,7 @@
     /// Serialises identity checks, so that concurrent calls share one.
     identity_check: AsyncMutex<()>,
     /// Requests that are running at the target, for attributing a crash to them.
-    watch: Mutex<RunWatch>,
+    watch: Mutex<RunTracker>,
     /// The last check for a crash of the target.
     crash_check: AsyncMutex<CrashCheck>,
     drains: DrainReasons,
@@ -464,7 +464,7 @@
 }
 
 /// Builds the answer for a broken connection; `ended` is the crash record of the request if the target has crashed.
-fn connection_lost(reason: &'static str, ended: Option<CrashNews>) -> AttemptAnswer {
+fn connection_lost(reason: &'static str, ended: Option<CrashReport>) -> AttemptAnswer {
     let cause = if ended.is_some() { UnknownCause::TargetEnded } else { UnknownCause::Lost(reason) };
     AttemptAnswer { ended, ..AttemptAnswer::new(AttemptOutcome::Unknown(cause)) }
 }
--- a/crates/laurelstall_node/src/target_guard/ends.rs
+++ b/crates/laurelstall_node/src/target_guard/ends.rs
@@ -6,10 +6,10 @@
 use super::Inner;
 use crate::{counters::count, target_http::TargetError};
 use laurelstall_crash::{
-    crash_record::CrashNews,
-    crash_table::Verdict,
+    crash_record::CrashReport,
+    crash_table::QuarantineStatus,
     request_digest::RequestDigest,
-    run_watch::{EndedRuns, RunId, RunWatch},
+    run_tracker::{CrashedRuns, RunId, RunTracker},
 };
 use laurelstall_guard::refusal::{Refusal, RefusalReason};
 use std::{
@@ -68,7 +68,7 @@
     pub(super) fn note_answered(mut self) {
         if let Some(id) = self.id.take() {
             self.inner.watch().note_answered(id);
-            self.inner.crashes.note_good(self.digest);
+            self.inner.crashes.note_success(self.digest);
         }
     }
 
@@ -81,7 +81,7 @@
 
     /// Records that the connection broke before the answer was complete. Returns the crash record of the request if the
     /// target has crashed.
-    pub(super) async fn note_broken(mut self, target: &str) -> Option<CrashNews> {
+    pub(super) async fn note_broken(mut self, target: &str) -> Option<CrashReport> {
         let id = self.id.take()?;
         let inner = &self.inner;
         let broken_us = inner.clock.now_us();
@@ -90,7 +90,7 @@
         inner.watch().note_broken(id, broken_us);
         let has_crashed = inner.has_crashed(target, broken_us, was_leaving).await;
         // A planned stop leaves no crash record.
-        has_crashed.then(|| inner.crashes.news_of(self.digest)).flatten()
+        has_crashed.then(|| inner.crashes.reports_of(self.digest)).flatten()
     }
 }
 
@@ -98,13 +98,13 @@
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             let now_us = self.inner.clock.now_us();
-            self.inner.watch().note_given_up(id, now_us);
+            self.inner.watch().note_abandoned(id, now_us);
         }
     }
 }
 
 impl Inner {
-    pub(super) fn watch(&self) -> MutexGuard<'_, RunWatch> {
+    pub(super) fn watch(&self) -> MutexGuard<'_, RunTracker> {
         self.watch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -127,11 +127,11 @@
         drop(last);
         match status {
             TargetStatus::Ended => {
-                let ended = self.watch().note_ended(broken_us);
+                let ended = self.watch().note_crash(broken_us);
                 self.report_crash(target, &ended, was_leaving);
             }
-            TargetStatus::Alive => self.watch().note_survived(),
-            TargetStatus::Unclear => self.watch().note_unclear(broken_us),
+            TargetStatus::Alive => self.watch().note_alive_after_break(),
+            TargetStatus::Unclear => self.watch().note_unknown(broken_us),
         }
         status == TargetStatus::Ended
     }
@@ -185,7 +185,7 @@
 
     /// Logs and counts the end of a target and records it as a crash, unless the target was leaving or no longer
     /// listed: a planned stop is not attributed to the requests that it interrupted.
-    fn report_crash(&self, target: &str, ended: &EndedRuns, was_leaving: bool) {
+    fn report_crash(&self, target: &str, ended: &CrashedRuns, was_leaving: bool) {
         if ended.is_first {
             count(&self.counters.target_ends);
         }
@@ -201,7 +201,7 @@
         }
         log::warn!("own target: '{target}' crashed while these requests were running: {digests}");
         let service = self.settings.as_ref().map_or("", |settings| &settings.service);
-        self.crashes.note_end(self.crash_id(target, ended.end), service, &ended.digests);
+        self.crashes.note_end(self.crash_id(target, ended.number), service, &ended.digests);
     }
 
     /// Returns the number that identifies the crash on all nodes.
@@ -211,7 +211,9 @@
 
     /// Returns the refusal of a quarantined request; `None` if the request may run.
     pub(super) fn quarantine_refusal(&self, digest: RequestDigest) -> Option<Refusal> {
-        let Verdict::Held { retry_after_ms } = self.crashes.verdict(digest) else { return None };
+        let QuarantineStatus::Quarantined { retry_after_ms } = self.crashes.quarantine_status(digest) else {
+            return None;
+        };
         Some(
             Refusal::new(RefusalReason::Held)
                 .with_retry_after_ms(retry_after_ms.try_into().unwrap_or(u32::MAX)),
--- a/crates/laurelstall_peer/src/attempt.rs
+++ b/crates/laurelstall_peer/src/attempt.rs
@@ -5,7 +5,7 @@
 use futures_util::future::BoxFuture;
 use http::{HeaderMap, StatusCode};
 use laurelstall_balance::hint::Hint;
-use laurelstall_crash::crash_record::CrashNews;
+use laurelstall_crash::crash_record::CrashReport;
 use laurelstall_guard::refusal::Refusal;
 use std::fmt;
 use tokio::sync::oneshot;
@@ -100,7 +100,7 @@
     /// Load hint on the target, if the budget for observation allowed one.
     pub hint: Option<Hint>,
     /// Crash report on the request if the target crashed while running it.
-    pub ended: Option<CrashNews>,
+    pub ended: Option<CrashReport>,
     /// Unread body of a request that did not run.
     pub unread: Option<AnswerBody>,
 }
--- a/crates/laurelstall_peer/src/crash_registry.rs
+++ b/crates/laurelstall_peer/src/crash_registry.rs
@@ -2,8 +2,8 @@
 //! replication.
 
 use laurelstall_crash::{
-    crash_record::{CrashEnd, CrashNews},
-    crash_table::{CrashState, CrashTable, Verdict},
+    crash_record::{CrashReport, TargetCrash},
+    crash_table::{CrashTable, QuarantineStatus, SuspectState},
     request_digest::RequestDigest,
 };
 use laurelstall_guard::clock::Clock;
@@ -42,8 +42,8 @@
     }
 
     /// Returns the quarantine status of a request.
-    pub fn verdict(&self, digest: RequestDigest) -> Verdict {
-        self.table().verdict(digest, self.now_us())
+    pub fn quarantine_status(&self, digest: RequestDigest) -> QuarantineStatus {
+        self.table().quarantine_status(digest, self.now_us())
     }
 
     /// Whether the body of a request with this head must be read to determine its status.
@@ -55,16 +55,17 @@
     pub fn note_end(&self, end: u64, service: &str, digests: &[RequestDigest]) {
         let now_us = self.now_us();
         let before = self.verdicts(digests);
-        let reports = self.table().note_end(CrashEnd { id: end, at_us: now_us }, service, digests, now_us);
+        let reports =
+            self.table().note_crash(TargetCrash { id: end, at_us: now_us }, service, digests, now_us);
         self.log_changes(&before);
         self.queue(reports);
     }
 
     /// Records that a run of a request succeeded.
-    pub fn note_good(&self, digest: RequestDigest) {
+    pub fn note_success(&self, digest: RequestDigest) {
         let now_us = self.now_us();
-        let before = self.table().verdict(digest, now_us);
-        if self.table().note_good(digest, now_us) {
+        let before = self.table().quarantine_status(digest, now_us);
+        if self.table().note_success(digest, now_us) {
             self.log_changes(&[(digest, before)]);
             self.queue(vec![digest]);
         }
@@ -93,22 +94,22 @@
     }
 
     /// Merges crash reports of another node.
-    pub fn take_news(&self, reports: &[CrashNews]) {
+    pub fn take_news(&self, reports: &[CrashReport]) {
         let digests = reports.iter().map(|report| report.digest).collect::<Vec<_>>();
         let before = self.verdicts(&digests);
-        let changed = self.table().take_news(reports, self.now_us());
+        let changed = self.table().merge_reports(reports, self.now_us());
         self.log_changes(&before);
         self.queue(changed);
     }
 
     /// Returns the report on one request for other nodes, or `None` if there is none.
-    pub fn news_of(&self, digest: RequestDigest) -> Option<CrashNews> {
-        self.table().news_of(&[digest], self.now_us()).pop()
+    pub fn reports_of(&self, digest: RequestDigest) -> Option<CrashReport> {
+        self.table().reports_of(&[digest], self.now_us()).pop()
     }
 
     /// Returns the reports on all requests for other nodes.
-    pub fn all_news(&self) -> Vec<CrashNews> {
-        self.table().all_news(self.now_us())
+    pub fn all_reports(&self) -> Vec<CrashReport> {
+        self.table().all_reports(self.now_us())
     }
 
     /// Returns a hash of all reports.
@@ -117,17 +118,17 @@
     }
 
     /// Returns the state of all requests with crashes, for operators.
-    pub fn states(&self) -> Vec<CrashState> {
-        self.table().states(self.now_us())
+    pub fn states(&self) -> Vec<SuspectState> {
+        self.table().suspects(self.now_us())
     }
 
     /// Waits for reports that the partners have not been sent yet, and takes them.
-    pub(crate) async fn unsent_reports(&self) -> Vec<CrashNews> {
+    pub(crate) async fn unsent_reports(&self) -> Vec<CrashReport> {
         loop {
             self.has_unsent.notified().await;
             let unsent = std::mem::take(&mut *self.unsent.lock().unwrap_or_else(PoisonError::into_inner));
             let unsent = unsent.into_iter().collect::<Vec<_>>();
-            let reports = self.table().news_of(&unsent, self.now_us());
+            let reports = self.table().reports_of(&unsent, self.now_us());
             if !reports.is_empty() {
                 return reports;
             }
@@ -142,24 +143,27 @@
         self.has_unsent.notify_one();
     }
 
-    fn verdicts(&self, digests: &[RequestDigest]) -> Vec<(RequestDigest, Verdict)> {
-        digests.iter().map(|digest| (*digest, self.verdict(*digest))).collect()
+    fn verdicts(&self, digests: &[RequestDigest]) -> Vec<(RequestDigest, QuarantineStatus)> {
+        digests.iter().map(|digest| (*digest, self.quarantine_status(*digest))).collect()
     }
 
     /// Logs each change of a request's quarantine status.
-    fn log_changes(&self, before: &[(RequestDigest, Verdict)]) {
+    fn log_changes(&self, before: &[(RequestDigest, QuarantineStatus)]) {
         for (digest, before) in before {
-            let after = self.verdict(*digest);
+            let after = self.quarantine_status(*digest);
             let age_ms = self.last_crash_age_ms(*digest);
             match (*before, after) {
-                (Verdict::Held { .. }, Verdict::Held { .. }) => {}
-                (_, Verdict::Held { retry_after_ms }) => log::warn!(
+                (QuarantineStatus::Quarantined { .. }, QuarantineStatus::Quarantined { .. }) => {}
+                (_, QuarantineStatus::Quarantined { retry_after_ms }) => log::warn!(
                     "request {digest}: quarantined for {retry_after_ms} ms, its last target crashed {age_ms} ms ago"
                 ),
-                (Verdict::Harmless, Verdict::Suspected(ends)) => log::info!(
+                (QuarantineStatus::Harmless, QuarantineStatus::Suspected(ends)) => log::info!(
                     "request {digest}: suspected, it was running in {ends} target crashes, the last one {age_ms} ms ago"
                 ),
-                (Verdict::Held { .. } | Verdict::Trial, Verdict::Harmless) => {
+                (
+                    QuarantineStatus::Quarantined { .. } | QuarantineStatus::HalfOpen,
+                    QuarantineStatus::Harmless,
+                ) => {
                     log::warn!(
                         "request {digest}: out of quarantine, a run of it succeeded or an operator released it"
                     );
@@ -170,7 +174,7 @@
     }
 
     fn last_crash_age_ms(&self, digest: RequestDigest) -> u64 {
-        let report = self.news_of(digest);
+        let report = self.reports_of(digest);
         report.and_then(|report| report.ends.iter().map(|end| end.age_ms).min()).unwrap_or(0)
     }
 
--- a/crates/laurelstall_peer/src/message.rs
+++ b/crates/laurelstall_peer/src/message.rs
@@ -3,7 +3,7 @@
 use crate::carried_news::CarriedNews;
 use laurelstall_balance::hint::{Hint, TargetState};
 use laurelstall_config::document::{DocumentName, Version};
-use laurelstall_crash::{crash_record::CrashNews, request_digest::RequestDigest};
+use laurelstall_crash::{crash_record::CrashReport, request_digest::RequestDigest};
 use laurelstall_guard::refusal::Refusal;
 use laurelstall_workspace::owned_shares::{Grant, ShareKey};
 use serde::{Deserialize, Serialize};
@@ -203,9 +203,9 @@
     /// Return whether the node can read the platform.
     CanRead,
     /// New crash reports.
-    CrashNews(Vec<CrashNews>),
+    CrashNews(Vec<CrashReport>),
     /// All crash reports of the sender; the answer contains those that it lacks.
-    CompareCrashes(Vec<CrashNews>),
+    CompareCrashes(Vec<CrashReport>),
     /// The corrections of the sender; the answer contains those of the node.
     CompareCarried(Option<CarriedNews>),
     /// Take tokens from a share that the node owns.
@@ -244,7 +244,7 @@
         /// Number of the call.
         call_id: u64,
         /// Crash report on the request if the target crashed while running it.
-        ended: Option<CrashNews>,
+        ended: Option<CrashReport>,
         /// Load hint on the target.
         hint: Option<WireHint>,
     },
@@ -272,7 +272,7 @@
     /// Whether the last read of the platform, if there was one, succeeded.
     CanRead(bool),
     /// The crash reports that the requesting node lacks.
-    Crashes(Vec<CrashNews>),
+    Crashes(Vec<CrashReport>),
     /// The corrections since the last restore of the platform.
     Carried(Option<CarriedNews>),
     /// Granted tokens; `None` if another node may own the share.
--- a/crates/laurelstall_peer/src/spread/crash_news.rs
+++ b/crates/laurelstall_peer/src/spread/crash_news.rs
@@ -9,7 +9,7 @@
     message::{PeerAnswer, PeerRequest},
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use laurelstall_crash::crash_record::CrashNews;
+use laurelstall_crash::crash_record::CrashReport;
 use std::{net::SocketAddr, sync::Arc};
 use tokio::{
     task::JoinSet,
@@ -35,12 +35,12 @@
     }
 
     /// Merges another node's crash reports and answers with those that it lacks.
-    pub fn answer_crashes(&self, theirs: &[CrashNews]) -> PeerAnswer {
+    pub fn answer_crashes(&self, theirs: &[CrashReport]) -> PeerAnswer {
         self.crashes.take_news(theirs);
-        let is_known = |report: &CrashNews| {
+        let is_known = |report: &CrashReport| {
             theirs.iter().any(|known| known.digest == report.digest && known.ends.len() >= report.ends.len())
         };
-        let mut ours = self.crashes.all_news();
+        let mut ours = self.crashes.all_reports();
         ours.retain(|report| {
             !is_known(report) || report.good_run_age_ms.is_some() || report.release_age_ms.is_some()
         });
@@ -56,7 +56,7 @@
         if their_hash == self.crashes.hash() {
             return Ok(());
         }
-        let request = PeerRequest::CompareCrashes(self.crashes.all_news());
+        let request = PeerRequest::CompareCrashes(self.crashes.all_reports());
         match self.client.ask(address, &request).await? {
             PeerAnswer::Crashes(theirs) => self.crashes.take_news(&theirs),
             _ => return Err(PeerError::Unexpected),
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    async fn send_crash_reports(&self, reports: Vec<CrashNews>) {
+    async fn send_crash_reports(&self, reports: Vec<CrashReport>) {
         let mut partners = self.partners();
         partners.extend(self.remote_nodes(REMOTE_RECIPIENTS));
         let mut substitutes = self.substitutes(&partners, partners.len()).into_iter();
--- a/crates/laurelstall_peer/tests/messages.rs
+++ b/crates/laurelstall_peer/tests/messages.rs
@@ -6,7 +6,7 @@
     fleet::EVACUATED_MAX,
 };
 use laurelstall_crash::{
-    crash_record::{CrashNews, EndNews},
+    crash_record::{CrashReport, ReportedCrash},
     request_digest::RequestDigest,
 };
 use laurelstall_guard::refusal::{Refusal, RefusalReason};
@@ -127,10 +127,10 @@
         known_version: Version::new(3),
         known_checksum: 4,
     };
-    let report = CrashNews {
+    let report = CrashReport {
         digest: RequestDigest { whole: 1, head: 2 },
         service: "t/s".to_owned(),
-        ends: vec![EndNews { id: 3, age_ms: 4 }],
+        ends: vec![ReportedCrash { id: 3, age_ms: 4 }],
         good_run_age_ms: None,
         release_age_ms: Some(5),
     };
--- a/crates/laurelstall_standin/tests/administration.rs
+++ b/crates/laurelstall_standin/tests/administration.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use laurelstall_config::settings::{Role, TokenSettings};
-use laurelstall_crash::{crash_table::Verdict, request_digest::RequestDigest};
+use laurelstall_crash::{crash_table::QuarantineStatus, request_digest::RequestDigest};
 use serde_json::Value;
 use support::{Answer, ask, entry, plan, start};
 
@@ -129,7 +129,7 @@
     assert_eq!(release(OPERATE, "ab").await, StatusCode::NOT_FOUND);
     assert_eq!(release(OPERATE, "00000000000000ab").await, StatusCode::OK);
     for node in 0..2 {
-        while crashes(node).verdict(digest) != Verdict::Harmless {
+        while crashes(node).quarantine_status(digest) != QuarantineStatus::Harmless {
             tokio::time::sleep(tokio::time::Duration::from_millis(10)).await;
         }
     }
--- a/crates/laurelstall_workspace/examples/quota_ways.rs
+++ b/crates/laurelstall_workspace/examples/quota_ways.rs
@@ -9,7 +9,7 @@
 use laurelstall_workspace::{
     owned_shares::{OwnedShares, ShareKey},
     quota_split::QuotaSplit,
-    share_order::ShareOrder,
+    share_owner_list::ShareOwnerList,
     token_bucket::TokenBucket,
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -82,7 +82,7 @@
     fleet: Arc<Fleet>,
     lost: usize,
     owned: Vec<OwnedShares>,
-    orders: Vec<Vec<ShareOrder>>,
+    orders: Vec<Vec<ShareOwnerList>>,
     parts: Vec<Vec<TokenBucket>>,
     outcome: Outcome,
 }
@@ -101,7 +101,7 @@
 impl Simulation {
     fn new(algorithm: Algorithm, nodes: usize) -> Self {
         let fleet = fleet(nodes, None);
-        let lost = laurelstall_workspace::share_owners::owner_of(&fleet, "main/w-0", 0);
+        let lost = laurelstall_workspace::share_ownership::owner_of(&fleet, "main/w-0", 0);
         let lost = lost.and_then(|host| host.name.strip_prefix("host-")?.parse().ok()).unwrap_or(0);
         let owned = (0..nodes).map(|index| {
             let mut owned = OwnedShares::new(&format!("host-{index}"), BEGIN_US);
@@ -119,7 +119,9 @@
             nodes,
             lost,
             owned: owned.collect(),
-            orders: (0..nodes).map(|_| (0..WORKSPACES).map(|_| ShareOrder::default()).collect()).collect(),
+            orders: (0..nodes)
+                .map(|_| (0..WORKSPACES).map(|_| ShareOwnerList::default()).collect())
+                .collect(),
             parts: vec![vec![part; WORKSPACES]; nodes],
             fleet,
             outcome: Outcome { admitted_us: vec![VecDeque::new(); WORKSPACES], ..Outcome::default() },
@@ -160,14 +162,14 @@
         let order = &mut self.orders[node][workspace];
         order.set_fleet(&self.fleet, &name, split.shares, &data_centre);
         let mut waited_us = 0;
-        for state in order.to_ask(now_us) {
+        for state in order.owners_to_ask(now_us) {
             let owner = state.host.strip_prefix("host-").and_then(|index| index.parse::<usize>().ok());
             let Some(owner) = owner else { continue };
             let is_own = owner == node;
             self.outcome.messages += if is_own { 0 } else { 2 };
             if owner == self.lost && now_us >= LOST_US {
                 waited_us += TIMEOUT_US;
-                order.note_unreached(state.share, now_us);
+                order.note_unreachable(state.share, now_us);
                 continue;
             }
             waited_us += if is_own { 0 } else { ROUND_TRIP_US };
@@ -175,7 +177,7 @@
             match self.owned[owner].take(&key, &split, 1, now_us) {
                 Some(grant) if grant.tokens > 0 => return (true, waited_us),
                 Some(grant) => order.note_empty(state.share, grant.retry_after_us, now_us),
-                None => order.note_unreached(state.share, now_us),
+                None => order.note_unreachable(state.share, now_us),
             }
         }
         (false, waited_us)
--- a/crates/laurelstall_workspace/src/key_directory.rs
+++ b/crates/laurelstall_workspace/src/key_directory.rs
@@ -5,11 +5,11 @@
 
 /// The result of the lookup of a call's key.
 #[derive(Debug, Clone, PartialEq)]
-pub enum KeyVerdict {
+pub enum KeyLookup {
     /// The key belongs to this workspace.
-    Of(Arc<Workspace>),
+    Workspace(Arc<Workspace>),
     /// The call is allowed without a workspace.
-    OfNone,
+    NoWorkspace,
     /// The call needs a key and has none.
     Missing,
     /// The key belongs to no workspace.
@@ -43,20 +43,20 @@
     }
 
     /// Whether this team needs keys or has workspaces.
-    pub fn knows_keys(&self) -> bool {
+    pub fn uses_keys(&self) -> bool {
         self.needs_keys || !self.workspaces.is_empty()
     }
 
     /// Looks up the workspace of a call with `key`, on a route that `is_public` or not.
     ///
     /// A key is optional on a public route, and an unknown one is ignored there.
-    pub fn judge(&self, key: Option<&[u8]>, is_public: bool) -> KeyVerdict {
+    pub fn look_up(&self, key: Option<&[u8]>, is_public: bool) -> KeyLookup {
         let found = key.and_then(|key| self.find(key));
         match (found, key) {
-            (Some(workspace), _) => KeyVerdict::Of(workspace.clone()),
-            (None, _) if is_public || !self.needs_keys => KeyVerdict::OfNone,
-            (None, None) => KeyVerdict::Missing,
-            (None, Some(_)) => KeyVerdict::Unknown,
+            (Some(workspace), _) => KeyLookup::Workspace(workspace.clone()),
+            (None, _) if is_public || !self.needs_keys => KeyLookup::NoWorkspace,
+            (None, None) => KeyLookup::Missing,
+            (None, Some(_)) => KeyLookup::Unknown,
         }
     }
 
--- a/crates/laurelstall_workspace/src/lib.rs
+++ b/crates/laurelstall_workspace/src/lib.rs
@@ -10,18 +10,18 @@
 pub mod key_directory;
 pub mod owned_shares;
 pub mod quota_split;
-pub mod share_order;
-pub mod share_owners;
+pub mod share_owner_list;
+pub mod share_ownership;
 pub mod token_bucket;
 
 /// The most commonly used types.
 pub mod prelude {
     pub use crate::{
-        key_directory::{KeyDirectory, KeyVerdict},
+        key_directory::{KeyDirectory, KeyLookup},
         owned_shares::{Grant, OwnedShares, ShareKey},
         quota_split::QuotaSplit,
-        share_order::{ShareOrder, ShareState},
-        share_owners::{ShareOwners, owner_of},
+        share_owner_list::{ShareOwner, ShareOwnerList},
+        share_ownership::{ShareOwnership, owner_of},
         token_bucket::TokenBucket,
     };
 }
--- a/crates/laurelstall_workspace/src/owned_shares.rs
+++ b/crates/laurelstall_workspace/src/owned_shares.rs
@@ -1,6 +1,6 @@
 //! The quota shares that a node owns, and the tokens that it grants from them.
 
-use crate::{quota_split::QuotaSplit, share_owners::ShareOwners, token_bucket::TokenBucket};
+use crate::{quota_split::QuotaSplit, share_ownership::ShareOwnership, token_bucket::TokenBucket};
 use laurelstall_config::fleet::Fleet;
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc};
@@ -39,7 +39,7 @@
 /// The token buckets of the shares that a node owns.
 #[derive(Debug)]
 pub struct OwnedShares {
-    owners: ShareOwners,
+    owners: ShareOwnership,
     shares: HashMap<ShareKey, OwnedShare>,
     swept_at_us: u64,
 }
@@ -47,7 +47,7 @@
 impl OwnedShares {
     /// Creates the state of the node of `host`, which starts now.
     pub fn new(host: &str, now_us: u64) -> Self {
-        Self { owners: ShareOwners::new(host, now_us), shares: HashMap::new(), swept_at_us: now_us }
+        Self { owners: ShareOwnership::new(host, now_us), shares: HashMap::new(), swept_at_us: now_us }
     }
 
     /// Sets the current list of hosts.
--- a/crates/laurelstall_workspace/src/share_order.rs
+++ b/crates/laurelstall_workspace/src/share_owner_list.rs
@@ -1,6 +1,6 @@
 //! The owners of a workspace's quota shares, in the order in which a node requests tokens from them.
 
-use crate::share_owners::owner_of;
+use crate::share_ownership::owner_of;
 use laurelstall_config::fleet::Fleet;
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,7 +12,7 @@
 
 /// The owner of a share, as seen by a node that requests tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ShareState {
+pub struct ShareOwner {
     /// Index of the share, from 0.
     pub share: u8,
     /// Name of the owner's host.
@@ -28,16 +28,16 @@
 
 /// The owners of a workspace's quota shares.
 #[derive(Debug, Default)]
-pub struct ShareOrder {
+pub struct ShareOwnerList {
     fleet: Arc<Fleet>,
     /// Number of shares of the quota.
     count: u8,
-    shares: Vec<ShareState>,
+    shares: Vec<ShareOwner>,
     /// Counter for the rotation of the owners.
     turn: usize,
 }
 
-impl ShareOrder {
+impl ShareOwnerList {
     /// Sets the current list of hosts and keeps the state of owners that stay.
     pub fn set_fleet(&mut self, fleet: &Arc<Fleet>, workspace: &str, count: u8, data_centre: &str) {
         if Arc::ptr_eq(fleet, &self.fleet) && self.count == count {
@@ -46,7 +46,7 @@
         let owners = (0..count).filter_map(|share| Some((share, owner_of(fleet, workspace, share)?)));
         let states = owners.map(|(share, host)| {
             let known = self.shares.iter().find(|known| known.share == share && known.host == host.name);
-            known.cloned().unwrap_or_else(|| ShareState {
+            known.cloned().unwrap_or_else(|| ShareOwner {
                 share,
                 host: host.name.clone(),
                 address: host.node_address,
@@ -63,9 +63,9 @@
     /// The owners to request tokens from, in this order: those in the local data centre first, rotated within each
     /// group. Owners that did not answer recently are included only when no other is left, because each of them may
     /// cost the call a timeout.
-    pub fn to_ask(&mut self, now_us: u64) -> Vec<ShareState> {
+    pub fn owners_to_ask(&mut self, now_us: u64) -> Vec<ShareOwner> {
         self.turn = self.turn.wrapping_add(1);
-        let is_reachable = |state: &ShareState| state.unreachable_until_us <= now_us;
+        let is_reachable = |state: &ShareOwner| state.unreachable_until_us <= now_us;
         let any_reachable = self.shares.iter().any(is_reachable);
         let mut owners = self.shares.clone();
         owners.retain(|state| state.empty_until_us <= now_us && (!any_reachable || is_reachable(state)));
@@ -91,13 +91,13 @@
     }
 
     /// Records that the owner of a share did not answer, or may not grant tokens.
-    pub fn note_unreached(&mut self, share: u8, now_us: u64) {
+    pub fn note_unreachable(&mut self, share: u8, now_us: u64) {
         if let Some(state) = self.state(share) {
             state.unreachable_until_us = now_us + UNREACHED_PAUSE_US;
         }
     }
 
-    fn state(&mut self, share: u8) -> Option<&mut ShareState> {
+    fn state(&mut self, share: u8) -> Option<&mut ShareOwner> {
         self.shares.iter_mut().find(|state| state.share == share)
     }
 }
--- a/crates/laurelstall_workspace/src/share_owners.rs
+++ b/crates/laurelstall_workspace/src/share_ownership.rs
@@ -8,10 +8,10 @@
 ///
 /// The previous owner stops within that time: it receives the list that moved the share within two seconds, or detects
 /// that it receives no lists any more.
-pub const HANDOVER_US: u64 = 3_000_000;
+pub const HANDOVER_DELAY_US: u64 = 3_000_000;
 /// Time in µs after a node's start in which it grants tokens without waiting. After a start of the whole fleet the
 /// list of hosts grows for seconds, and no previous owner can have granted tokens.
-pub const START_US: u64 = 8_000_000;
+pub const STARTUP_US: u64 = 8_000_000;
 /// Shortest time in µs between two remembered lists. Lists change several times a second while many hosts change, and
 /// the owners of a list that was current for less than this can have granted only few tokens.
 const LIST_STEP_US: u64 = 400_000;
@@ -34,14 +34,14 @@
 
 /// The current list of hosts and the recent ones on which ownership still depends.
 #[derive(Debug)]
-pub struct ShareOwners {
+pub struct ShareOwnership {
     host: String,
     started_us: u64,
     fleet: Arc<Fleet>,
     past: VecDeque<PastList>,
 }
 
-impl ShareOwners {
+impl ShareOwnership {
     /// Creates the state of the node of `host`, which starts now and knows no list of hosts.
     pub fn new(host: &str, now_us: u64) -> Self {
         Self { host: host.to_owned(), started_us: now_us, fleet: Arc::default(), past: VecDeque::new() }
@@ -57,7 +57,7 @@
             // This node knew no list before, so it granted no tokens.
             return;
         }
-        self.past.retain(|list| list.until_us + HANDOVER_US > now_us);
+        self.past.retain(|list| list.until_us + HANDOVER_DELAY_US > now_us);
         let is_due = self.past.back().is_none_or(|last| last.until_us + LIST_STEP_US <= now_us);
         if is_due {
             self.past.push_back(PastList { fleet: before, until_us: now_us });
@@ -72,20 +72,20 @@
         if self.is_starting(now_us) {
             return true;
         }
-        let is_recent = |list: &&PastList| list.until_us + HANDOVER_US > now_us;
+        let is_recent = |list: &&PastList| list.until_us + HANDOVER_DELAY_US > now_us;
         let was_owner = |list: &PastList| self.is_owner(&list.fleet, workspace, share);
         self.past.iter().filter(is_recent).all(was_owner)
     }
 
     /// Time in µs since which no other node has granted tokens of the shares that this node owns now.
     pub fn owned_since_us(&self) -> u64 {
-        let last = self.past.back().filter(|list| list.until_us > self.started_us + START_US);
-        last.map_or(self.started_us, |list| list.until_us + HANDOVER_US)
+        let last = self.past.back().filter(|list| list.until_us > self.started_us + STARTUP_US);
+        last.map_or(self.started_us, |list| list.until_us + HANDOVER_DELAY_US)
     }
 
     /// Whether the node started so recently that it grants tokens without waiting.
     pub fn is_starting(&self, now_us: u64) -> bool {
-        now_us < self.started_us + START_US
+        now_us < self.started_us + STARTUP_US
     }
 
     fn is_owner(&self, fleet: &Fleet, workspace: &str, share: u8) -> bool {
--- a/crates/laurelstall_workspace/tests/keys.rs
+++ b/crates/laurelstall_workspace/tests/keys.rs
@@ -5,7 +5,7 @@
     team::Team,
     workspace::Workspace,
 };
-use laurelstall_workspace::key_directory::{KeyDirectory, KeyVerdict};
+use laurelstall_workspace::key_directory::{KeyDirectory, KeyLookup};
 
 const KEY: &[u8] = b"a-key-of-the-bakery";
 
@@ -15,9 +15,9 @@
     Team { needs_keys, workspaces: vec![bakery], ..Team::default() }
 }
 
-fn name(lookup: &KeyVerdict) -> Option<&str> {
+fn name(lookup: &KeyLookup) -> Option<&str> {
     match lookup {
-        KeyVerdict::Of(workspace) => Some(&workspace.name),
+        KeyLookup::Workspace(workspace) => Some(&workspace.name),
         _ => None,
     }
 }
@@ -25,26 +25,26 @@
 #[test]
 fn a_key_identifies_its_workspace_and_others_are_unknown() {
     let directory = KeyDirectory::new(&team(true, &[KEY]));
-    assert_eq!(name(&directory.judge(Some(KEY), false)), Some("bakery"));
-    assert_eq!(directory.judge(Some(b"a-key-of-the-bakerz"), false), KeyVerdict::Unknown);
-    assert_eq!(directory.judge(Some(b""), false), KeyVerdict::Unknown);
-    assert_eq!(directory.judge(None, false), KeyVerdict::Missing);
+    assert_eq!(name(&directory.look_up(Some(KEY), false)), Some("bakery"));
+    assert_eq!(directory.look_up(Some(b"a-key-of-the-bakerz"), false), KeyLookup::Unknown);
+    assert_eq!(directory.look_up(Some(b""), false), KeyLookup::Unknown);
+    assert_eq!(directory.look_up(None, false), KeyLookup::Missing);
 }
 
 #[test]
 fn a_key_is_optional_on_a_public_route() {
     let directory = KeyDirectory::new(&team(true, &[KEY]));
-    assert_eq!(directory.judge(None, true), KeyVerdict::OfNone);
-    assert_eq!(directory.judge(Some(b"nobody's"), true), KeyVerdict::OfNone);
-    assert_eq!(name(&directory.judge(Some(KEY), true)), Some("bakery"));
+    assert_eq!(directory.look_up(None, true), KeyLookup::NoWorkspace);
+    assert_eq!(directory.look_up(Some(b"nobody's"), true), KeyLookup::NoWorkspace);
+    assert_eq!(name(&directory.look_up(Some(KEY), true)), Some("bakery"));
 }
 
 #[test]
 fn a_team_that_needs_keys_and_has_none_rejects_all_calls() {
     let directory = KeyDirectory::new(&Team { needs_keys: true, ..Team::default() });
-    assert!(directory.knows_keys());
-    assert_eq!(directory.judge(Some(KEY), false), KeyVerdict::Unknown);
-    assert!(!KeyDirectory::new(&Team::default()).knows_keys());
+    assert!(directory.uses_keys());
+    assert_eq!(directory.look_up(Some(KEY), false), KeyLookup::Unknown);
+    assert!(!KeyDirectory::new(&Team::default()).uses_keys());
 }
 
 #[test]
@@ -54,8 +54,8 @@
     let bakery = Workspace { keys: digests.collect(), ..Workspace::new("bakery") };
     let directory = KeyDirectory::new(&Team { workspaces: vec![bakery], ..team(true, &[]) });
     assert_eq!(directory.key_count(), 300_000);
-    assert_eq!(name(&directory.judge(Some(b"key-299999"), false)), Some("bakery"));
-    assert_eq!(directory.judge(Some(b"key-300000"), false), KeyVerdict::Unknown);
+    assert_eq!(name(&directory.look_up(Some(b"key-299999"), false)), Some("bakery"));
+    assert_eq!(directory.look_up(Some(b"key-300000"), false), KeyLookup::Unknown);
 }
 
 #[test]
--- a/crates/laurelstall_workspace/tests/quotas.rs
+++ b/crates/laurelstall_workspace/tests/quotas.rs
@@ -8,8 +8,8 @@
 use laurelstall_workspace::{
     owned_shares::{OwnedShares, ShareKey},
     quota_split::QuotaSplit,
-    share_order::ShareOrder,
-    share_owners::{HANDOVER_US, START_US, owner_of},
+    share_owner_list::ShareOwnerList,
+    share_ownership::{HANDOVER_DELAY_US, STARTUP_US, owner_of},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::{collections::HashMap, sync::Arc};
@@ -71,14 +71,15 @@
     let next = owner_of(&rest, WORKSPACE, 0).expect("there are hosts").name.clone();
     let mut owned = OwnedShares::new(&next, BEGIN_US);
     owned.set_fleet(&all, BEGIN_US);
-    let moved_us = BEGIN_US + START_US + HANDOVER_US;
+    let moved_us = BEGIN_US + STARTUP_US + HANDOVER_DELAY_US;
     assert_eq!(owned.take(&key(0), &split(), 1, moved_us), None, "the node is not the owner");
     owned.set_fleet(&rest, moved_us);
-    assert_eq!(owned.take(&key(0), &split(), 1, moved_us + HANDOVER_US - 1), None);
-    let grant = owned.take(&key(0), &split(), 1, moved_us + HANDOVER_US).expect("the node is the owner");
+    assert_eq!(owned.take(&key(0), &split(), 1, moved_us + HANDOVER_DELAY_US - 1), None);
+    let grant =
+        owned.take(&key(0), &split(), 1, moved_us + HANDOVER_DELAY_US).expect("the node is the owner");
     assert_eq!(grant.tokens, 1);
-    owned.set_fleet(&all, moved_us + HANDOVER_US + 1);
-    assert_eq!(owned.take(&key(0), &split(), 1, moved_us + 2 * HANDOVER_US), None);
+    owned.set_fleet(&all, moved_us + HANDOVER_DELAY_US + 1);
+    assert_eq!(owned.take(&key(0), &split(), 1, moved_us + 2 * HANDOVER_DELAY_US), None);
 }
 
 #[test]
@@ -87,7 +88,7 @@
     let mut owned = OwnedShares::new(&owner, BEGIN_US);
     owned.set_fleet(&fleet(0..13), BEGIN_US);
     let other = (0..13).find(|index| format!("host-{index}") != owner).expect("there are others");
-    let changes_us = BEGIN_US + START_US;
+    let changes_us = BEGIN_US + STARTUP_US;
     for number in 0..200 {
         let now_us = changes_us + number * 50_000;
         let is_whole = number % 2 == 0;
@@ -131,20 +132,23 @@
 #[test]
 fn unreachable_owners_are_a_last_resort_and_empty_ones_are_skipped() {
     let all = fleet(0..13);
-    let mut order = ShareOrder::default();
+    let mut order = ShareOwnerList::default();
     order.set_fleet(&all, WORKSPACE, 3, "north");
-    let listed = order.to_ask(BEGIN_US);
+    let listed = order.owners_to_ask(BEGIN_US);
     assert_eq!(listed.len(), 3);
-    order.note_unreached(0, BEGIN_US);
-    assert!(order.to_ask(BEGIN_US).iter().all(|state| state.share != 0));
+    order.note_unreachable(0, BEGIN_US);
+    assert!(order.owners_to_ask(BEGIN_US).iter().all(|state| state.share != 0));
     order.note_empty(1, 50_000, BEGIN_US);
     order.note_empty(2, 20_000, BEGIN_US);
-    assert!(order.to_ask(BEGIN_US).is_empty(), "a reachable owner is empty, so unreachable ones are skipped");
+    assert!(
+        order.owners_to_ask(BEGIN_US).is_empty(),
+        "a reachable owner is empty, so unreachable ones are skipped"
+    );
     assert_eq!(order.empty_for_us(BEGIN_US), Some(20_000));
-    assert_eq!(order.to_ask(BEGIN_US + 20_000).len(), 1);
-    order.note_unreached(1, BEGIN_US + 60_000);
-    order.note_unreached(2, BEGIN_US + 60_000);
-    assert_eq!(order.to_ask(BEGIN_US + 60_000).len(), 3, "no other owner is left");
+    assert_eq!(order.owners_to_ask(BEGIN_US + 20_000).len(), 1);
+    order.note_unreachable(1, BEGIN_US + 60_000);
+    order.note_unreachable(2, BEGIN_US + 60_000);
+    assert_eq!(order.owners_to_ask(BEGIN_US + 60_000).len(), 3, "no other owner is left");
 }
 
 /// A simulated node that owns shares.
