--- a/crates/laurelstall_guard/examples/phases.rs
+++ b/crates/laurelstall_guard/examples/phases.rs
@@ -9,7 +9,7 @@
 //!     cargo run --release -p laurelstall_guard --example phases
 
 use laurelstall_guard::{
-    ask::{Ask, Rank, Sharer},
+    admission_request::{AdmissionRequest, Rank, WorkspaceShare},
     clock::Clock,
     guard::Guard,
     guard_limits::GuardLimits,
@@ -100,9 +100,9 @@
     if strategy == Strategy::WhenQuick {
         sleep(Duration::from_micros(phases.slow_left_us(requested_us))).await;
     }
-    let request = Ask {
+    let request = AdmissionRequest {
         rank: Rank::new(5, false),
-        sharer: Sharer::NOBODY,
+        workspace_share: WorkspaceShare::NO_WORKSPACE,
         class: 1,
         deadline_us,
         useful_until_us: requested_us + useful_us,
@@ -139,13 +139,13 @@
         may_hold: strategy == Strategy::Decided,
     };
     let guard = Guard::new(limits, clock);
-    guard.set_can_look(true);
+    guard.set_can_query(true);
     let (querying_guard, queried_phases) = (guard.clone(), phases.clone());
     let query_task = tokio::spawn(async move {
         loop {
-            querying_guard.report_wanted().await;
+            querying_guard.report_needed().await;
             sleep(QUERY).await;
-            querying_guard.note_look(Some(queried_phases.percent(clock.now_us())));
+            querying_guard.note_query_result(Some(queried_phases.percent(clock.now_us())));
         }
     });
     let gap_us = run_ms * 1_000.0 / (LOAD * f64::from(SLOTS));
--- a/crates/laurelstall_guard/src/ask.rs
+++ b/crates/laurelstall_guard/src/admission_request.rs
@@ -8,7 +8,7 @@
 
 /// Importance of a nested call, which a running call waits for. It is above that of all other calls, because
 /// the work already done for the running call is lost if the nested one fails.
-pub const AWAITED_IMPORTANCE: u8 = IMPORTANCE_STEPS * IMPORTANCE_STEPS;
+pub const NESTED_CALL_IMPORTANCE: u8 = IMPORTANCE_STEPS * IMPORTANCE_STEPS;
 
 /// Combines the importance of a workspace and of a route, each 0 to 9, into that of a call; the workspace's
 /// decides first. A call whose workspace sets none uses the importance of its route for both.
@@ -20,25 +20,25 @@
 
 /// The workspace that a call counts for when a busy target is shared fairly between workspaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sharer {
+pub struct WorkspaceShare {
     /// Hash of the workspace's name; 0 for calls without a workspace.
     pub id: u64,
     /// Weight of the workspace's share of the target, relative to other workspaces.
     pub weight: u32,
 }
 
-impl Sharer {
+impl WorkspaceShare {
     /// The share of all calls without a workspace.
-    pub const NOBODY: Self = Self { id: 0, weight: 1 };
+    pub const NO_WORKSPACE: Self = Self { id: 0, weight: 1 };
 }
 
 /// What a guard needs to know about a call to admit it.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// Priority of the call in the queue.
     pub rank: Rank,
     /// The workspace that the call counts for.
-    pub sharer: Sharer,
+    pub workspace_share: WorkspaceShare,
     /// Class of the call; calls of one class take about the same time.
     pub class: CallClass,
     /// Deadline of the call, in µs of the guard's clock.
@@ -80,6 +80,6 @@
 
     /// Whether this is a nested call, which a running call waits for.
     pub fn is_nested(&self) -> bool {
-        self.importance >= AWAITED_IMPORTANCE
+        self.importance >= NESTED_CALL_IMPORTANCE
     }
 }
--- a/crates/laurelstall_guard/src/guard.rs
+++ b/crates/laurelstall_guard/src/guard.rs
@@ -1,13 +1,13 @@
 //! Admission of calls to one target.
 
 use crate::{
-    ask::Ask,
+    admission_request::AdmissionRequest,
     clock::Clock,
     guard_limits::GuardLimits,
     guard_load::GuardLoad,
     refusal::{Refusal, RefusalReason},
-    sharer_loads::SharerLoads,
     wait_queue::{QueueKey, Wake},
+    workspace_loads::WorkspaceLoads,
 };
 use laurelstall_balance::hint::NORMAL_PERCENT;
 use permit::{PermitOwner, Run};
@@ -38,11 +38,11 @@
     clock: Clock,
     state: Mutex<State>,
     /// Running and queued calls by workspace.
-    workspaces: Arc<SharerLoads>,
+    workspaces: Arc<WorkspaceLoads>,
     /// Start of draining, in µs of the clock; 0 while calls are admitted.
     draining_since_us: AtomicU64,
     idle: Notify,
-    report_wanted: Notify,
+    report_needed: Notify,
 }
 
 impl Guard {
@@ -54,7 +54,7 @@
             workspaces: Arc::default(),
             draining_since_us: AtomicU64::new(0),
             idle: Notify::new(),
-            report_wanted: Notify::new(),
+            report_needed: Notify::new(),
         })
     }
 
@@ -65,11 +65,11 @@
         state.admit_waiting(self.clock.now_us());
     }
 
-    /// Sets whether the target can be queried about its load; see [`Guard::report_wanted`].
-    pub fn set_can_look(&self, can_look: bool) {
+    /// Sets whether the target can be queried about its load; see [`Guard::report_needed`].
+    pub fn set_can_query(&self, can_query: bool) {
         let mut state = self.lock();
-        state.cold.set_can_query(can_look);
-        match (can_look, state.query_state) {
+        state.cold.set_can_query(can_query);
+        match (can_query, state.query_state) {
             (true, QueryState::Unsupported) => state.query_state = QueryState::NotBefore(0),
             (false, _) => state.query_state = QueryState::Unsupported,
             _ => {}
@@ -77,7 +77,7 @@
     }
 
     /// Returns whether the target can be queried about its load.
-    pub fn can_look(&self) -> bool {
+    pub fn can_query(&self) -> bool {
         self.lock().query_state != QueryState::Unsupported
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Returns whether the guard has been draining for so long that queued calls may not start any more.
-    pub fn is_past_drain(&self) -> bool {
+    pub fn is_drain_grace_over(&self) -> bool {
         self.draining_for_us().is_some_and(|draining_us| draining_us > DRAIN_START_MAX_US)
     }
 
@@ -147,19 +147,19 @@
     /// # Errors
     ///
     /// A [`Refusal`] when the call is not admitted: no byte of it has reached the target.
-    pub async fn admit(self: &Arc<Self>, mut request: Ask) -> Result<Permit, Refusal> {
-        let call = self.workspaces.enter(request.sharer);
-        request.rank.is_over_share = self.workspaces.is_over_share(request.sharer);
+    pub async fn admit(self: &Arc<Self>, mut request: AdmissionRequest) -> Result<Permit, Refusal> {
+        let call = self.workspaces.enter(request.workspace_share);
+        request.rank.is_over_share = self.workspaces.is_over_share(request.workspace_share);
         let permit = self.admit_ranked(request).await?;
         Ok(permit.with_call(call))
     }
 
-    async fn admit_ranked(self: &Arc<Self>, request: Ask) -> Result<Permit, Refusal> {
+    async fn admit_ranked(self: &Arc<Self>, request: AdmissionRequest) -> Result<Permit, Refusal> {
         let mut wait = match self.start_or_enqueue(&request)? {
             StartOrWait::Running(permit) => return Ok(permit),
             StartOrWait::Waiting(wait) => wait,
         };
-        self.report_wanted.notify_one();
+        self.report_needed.notify_one();
         loop {
             match timeout_at(wait.until, &mut wait.waiting.woken).await {
                 Ok(Ok(Wake::Start)) => return self.start_woken(wait.waiting, &request),
@@ -215,9 +215,9 @@
 
     /// Discards the target's report on its cold start, because the instance may have changed or been idle for
     /// long.
-    pub fn forget_cold(&self) {
+    pub fn discard_cold_report(&self) {
         self.lock().cold.forget_report();
-        self.report_wanted.notify_one();
+        self.report_needed.notify_one();
     }
 
     /// Returns whether the target is known to be cold.
@@ -225,9 +225,9 @@
         self.lock().cold.is_cold(self.clock.now_us())
     }
 
-    /// Records the result of a query that [`Guard::report_wanted`] asked for: how long work takes at the
+    /// Records the result of a query that [`Guard::report_needed`] asked for: how long work takes at the
     /// target now, in percent of normal, or `None` when the query failed.
-    pub fn note_look(&self, slowness_percent: Option<u32>) {
+    pub fn note_query_result(&self, slowness_percent: Option<u32>) {
         let now_us = self.clock.now_us();
         let mut state = self.lock();
         state.note_query_ended(slowness_percent.is_some(), now_us);
@@ -241,13 +241,13 @@
     /// Waits until a new load report of the target would help to decide about a queued call.
     ///
     /// The task that awaits this then queries the target and passes the result to
-    /// [`Guard::note_look`]; calls wait for it.
+    /// [`Guard::note_query_result`]; calls wait for it.
     ///
     /// Meanwhile this method decides again about held calls whose target cannot be queried, as the last
     /// report ages.
-    pub async fn report_wanted(&self) {
+    pub async fn report_needed(&self) {
         loop {
-            let changed = self.report_wanted.notified();
+            let changed = self.report_needed.notified();
             let now_us = self.clock.now_us();
             let due_us = {
                 let mut state = self.lock();
@@ -270,7 +270,7 @@
         }
     }
 
-    fn start_or_enqueue(self: &Arc<Self>, request: &Ask) -> Result<StartOrWait, Refusal> {
+    fn start_or_enqueue(self: &Arc<Self>, request: &AdmissionRequest) -> Result<StartOrWait, Refusal> {
         if self.is_draining() {
             return Err(Refusal::new(RefusalReason::Draining));
         }
@@ -289,7 +289,7 @@
             if state.may_start(request, now_us) {
                 let permit = self.start(&mut state, request, now_us);
                 if state.needs_cold_report(now_us) {
-                    self.report_wanted.notify_one();
+                    self.report_needed.notify_one();
                 }
                 return Ok(StartOrWait::Running(permit));
             }
@@ -323,7 +323,7 @@
     }
 
     /// Extends the wait of a held call as long as it can still be answered before its deadline.
-    fn extend_hold(&self, wait: &mut Wait, request: &Ask) -> bool {
+    fn extend_hold(&self, wait: &mut Wait, request: &AdmissionRequest) -> bool {
         let now_us = self.clock.now_us();
         let mut state = self.lock();
         if wait.hands_back || !state.has_room(request, now_us) {
@@ -339,7 +339,7 @@
         true
     }
 
-    fn start(self: &Arc<Self>, state: &mut State, request: &Ask, now_us: u64) -> Permit {
+    fn start(self: &Arc<Self>, state: &mut State, request: &AdmissionRequest, now_us: u64) -> Permit {
         let number = state.start(now_us);
         let sample = state.limit.note_start(state.running.len() as u32);
         let run = Run {
@@ -356,21 +356,25 @@
     }
 
     /// Returns the permit of a woken call, whose slot is reserved already.
-    fn start_reserved(self: &Arc<Self>, request: &Ask) -> Permit {
+    fn start_reserved(self: &Arc<Self>, request: &AdmissionRequest) -> Permit {
         let now_us = self.clock.now_us();
         let mut state = self.lock();
         state.drop_reserved();
         self.start(&mut state, request, now_us)
     }
 
-    fn start_woken(self: &Arc<Self>, mut waiting: Waiting, request: &Ask) -> Result<Permit, Refusal> {
+    fn start_woken(
+        self: &Arc<Self>,
+        mut waiting: Waiting,
+        request: &AdmissionRequest,
+    ) -> Result<Permit, Refusal> {
         waiting.is_in_queue = false;
         let permit = self.start_reserved(request);
         if request.deadline_us <= permit.start_us() {
             permit.release_uncounted();
             return Err(Refusal::new(RefusalReason::Deadline));
         }
-        if self.is_past_drain() {
+        if self.is_drain_grace_over() {
             permit.release_uncounted();
             return Err(Refusal::new(RefusalReason::Draining));
         }
@@ -380,7 +384,7 @@
     fn leave_queue(
         self: &Arc<Self>,
         mut waiting: Waiting,
-        request: &Ask,
+        request: &AdmissionRequest,
         hands_back: bool,
     ) -> Result<Permit, Refusal> {
         let was_waiting = self.lock().queue.remove(&waiting.key);
@@ -436,7 +440,7 @@
         let has_queued = !state.queue.is_empty();
         drop(state);
         if has_queued {
-            self.report_wanted.notify_one();
+            self.report_needed.notify_one();
         }
         if limit != limit_before {
             log::info!("concurrency limit changed from {limit_before} to {limit} after a trial");
--- a/crates/laurelstall_guard/src/guard/permit.rs
+++ b/crates/laurelstall_guard/src/guard/permit.rs
@@ -1,6 +1,6 @@
 //! Permits to run one call at the target.
 
-use crate::{limit_search::SampleKind, sharer_loads::SharerCall};
+use crate::{adaptive_limit::SampleKind, workspace_loads::CountedCall};
 use laurelstall_balance::class_times::CallClass;
 use std::{fmt, sync::Arc};
 
@@ -40,7 +40,7 @@
     owner: Arc<dyn PermitOwner>,
     run: Run,
     /// Counts the call towards its workspace's share.
-    call: Option<SharerCall>,
+    call: Option<CountedCall>,
 }
 
 impl Permit {
@@ -50,7 +50,7 @@
     }
 
     /// Keeps `call` counted towards its workspace's share until the permit is dropped.
-    pub(super) fn with_call(mut self, call: SharerCall) -> Self {
+    pub(super) fn with_call(mut self, call: CountedCall) -> Self {
         self.call = Some(call);
         self
     }
--- a/crates/laurelstall_guard/src/guard/state.rs
+++ b/crates/laurelstall_guard/src/guard/state.rs
@@ -1,13 +1,13 @@
 //! State of a guard and its decisions about free slots.
 
 use crate::{
-    ask::Ask,
-    cold_bound::ColdStartLimiter,
+    adaptive_limit::AdaptiveLimit,
+    admission_request::AdmissionRequest,
+    cold_start_limiter::ColdStartLimiter,
     guard_limits::GuardLimits,
-    limit_search::AdaptiveLimit,
-    pace::TargetSpeed,
     refusal::RefusalReason,
     start_decision::{SlotDemand, StartCandidate, StartDecision, StartForecast},
+    target_speed::TargetSpeed,
     wait_queue::{QueueKey, WaitQueue, Wake},
 };
 use laurelstall_balance::hint::NORMAL_PERCENT;
@@ -120,7 +120,7 @@
     }
 
     /// Derives an assumed run time from the first request, until a run was measured.
-    pub(super) fn assume_run_time(&mut self, request: &Ask) {
+    pub(super) fn assume_run_time(&mut self, request: &AdmissionRequest) {
         if !self.has_measured {
             self.mean_run_us = self.class_run_us(request);
         }
@@ -136,7 +136,7 @@
     }
 
     /// Returns whether a call may start now: a slot is free and the cold-start limit allows it.
-    pub(super) fn has_room(&self, request: &Ask, now_us: u64) -> bool {
+    pub(super) fn has_room(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         self.has_slot() && self.cold.has_capacity(request.rank.is_nested(), now_us)
     }
 
@@ -201,7 +201,7 @@
         let limit = u64::from(self.limit.limit().max(1));
         let free = limit.saturating_sub(self.running.len() as u64);
         let service_us = self.service_us(now_us);
-        let is_late = |(number, (key, request, _)): (usize, (&QueueKey, &Ask, bool))| {
+        let is_late = |(number, (key, request, _)): (usize, (&QueueKey, &AdmissionRequest, bool))| {
             let next_send_us = self.cold.next_send_us(request.rank.is_nested(), number, now_us);
             let is_cold_delayed = next_send_us > now_us;
             let is_next = (number as u64) < free;
@@ -228,7 +228,7 @@
     }
 
     /// Decides on a queued call for which there is a free slot.
-    fn decide(&self, request: &Ask, is_accepted: bool, now_us: u64) -> SlotDecision {
+    fn decide(&self, request: &AdmissionRequest, is_accepted: bool, now_us: u64) -> SlotDecision {
         let refused = if is_accepted { None } else { self.refusal_by_speed(request, now_us) };
         match refused {
             Some(reason) => SlotDecision::Refuse(reason),
@@ -238,7 +238,7 @@
     }
 
     /// Returns why a new call is refused because of the target's speed; `None` when it is not.
-    pub(super) fn refusal_by_speed(&self, request: &Ask, now_us: u64) -> Option<RefusalReason> {
+    pub(super) fn refusal_by_speed(&self, request: &AdmissionRequest, now_us: u64) -> Option<RefusalReason> {
         if self.is_avoidably_slow(request, now_us) {
             return Some(RefusalReason::Slow);
         }
@@ -246,12 +246,12 @@
     }
 
     /// Returns whether a new call may start at once instead of being queued.
-    pub(super) fn may_start(&self, request: &Ask, now_us: u64) -> bool {
+    pub(super) fn may_start(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         self.queue.is_empty() && self.has_room(request, now_us) && self.should_start(request, now_us)
     }
 
     /// Returns whether the call should try another target because this one is in a slow phase.
-    fn is_avoidably_slow(&self, request: &Ask, now_us: u64) -> bool {
+    fn is_avoidably_slow(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         let Some(from_percent) = request.slow_from_percent else { return false };
         let slowness_percent = self.speed.slowness_percent(now_us);
         slowness_percent >= from_percent
@@ -259,11 +259,11 @@
     }
 
     /// Predicts the result of starting the call now or holding it.
-    fn forecast(&self, request: &Ask, now_us: u64) -> StartForecast {
+    fn forecast(&self, request: &AdmissionRequest, now_us: u64) -> StartForecast {
         StartForecast::of(&self.candidate(request, now_us), &self.speed.forecast(now_us), &self.demand())
     }
 
-    fn candidate(&self, request: &Ask, now_us: u64) -> StartCandidate {
+    fn candidate(&self, request: &AdmissionRequest, now_us: u64) -> StartCandidate {
         StartCandidate {
             run_us: self.class_run_us(request),
             useful_us: request.useful_until_us.saturating_sub(now_us) as f64,
@@ -278,12 +278,12 @@
         SlotDemand { load, run_us: self.mean_run_us }
     }
 
-    fn should_start(&self, request: &Ask, now_us: u64) -> bool {
+    fn should_start(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         !self.limits.may_hold || self.forecast(request, now_us).decision == StartDecision::Start
     }
 
     /// Returns whether the target has to be queried before the call gets a slot.
-    pub(super) fn needs_report(&self, request: &Ask, now_us: u64) -> bool {
+    pub(super) fn needs_report(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         if !self.can_query(now_us) {
             return false;
         }
@@ -324,7 +324,8 @@
     /// Returns when queued calls have to be decided on again, in µs; `None` while there is nothing to decide.
     pub(super) fn recheck_us(&self, now_us: u64) -> Option<u64> {
         let is_due = !self.queue.is_empty() && self.has_slot();
-        let next_send_us = |request: &Ask| self.cold.next_send_us(request.rank.is_nested(), 0, now_us);
+        let next_send_us =
+            |request: &AdmissionRequest| self.cold.next_send_us(request.rank.is_nested(), 0, now_us);
         is_due.then(|| self.queue.first().map_or(now_us, next_send_us).max(now_us + RECHECK_US))
     }
 
@@ -344,14 +345,14 @@
     }
 
     /// Returns whether the call would occupy a slot that others need and still be answered too late.
-    fn would_be_late(&self, request: &Ask, now_us: u64) -> bool {
+    fn would_be_late(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         let useful_us = request.useful_until_us.saturating_sub(now_us) as f64;
         let done_us = self.forecast(request, now_us).done_us;
         done_us > useful_us && 2 * self.running.len() as u32 >= self.limit.limit()
     }
 
     /// Returns the longest wait after which the answer is still in time, in µs.
-    pub(super) fn wait_max_us(&self, request: &Ask, now_us: u64) -> u64 {
+    pub(super) fn wait_max_us(&self, request: &AdmissionRequest, now_us: u64) -> u64 {
         let done_us = self.forecast(request, now_us).done_us as u64;
         let useful_us = request.useful_until_us.saturating_sub(now_us).saturating_sub(done_us);
         useful_us.min(self.limits.queue_wait_max_ms * 1_000)
@@ -371,7 +372,7 @@
     }
 
     /// Returns how long the cold-start limit delays the call, in µs.
-    pub(super) fn cold_wait_us(&self, request: &Ask, now_us: u64) -> u64 {
+    pub(super) fn cold_wait_us(&self, request: &AdmissionRequest, now_us: u64) -> u64 {
         let before = self.queue.ahead_of(request.rank, request.deadline_us);
         self.cold.next_send_us(request.rank.is_nested(), before, now_us) - now_us
     }
@@ -387,7 +388,7 @@
         last_retry_us - now_us
     }
 
-    pub(super) fn expected_wait_us(&self, request: &Ask, now_us: u64) -> u64 {
+    pub(super) fn expected_wait_us(&self, request: &AdmissionRequest, now_us: u64) -> u64 {
         let limit = u64::from(self.limit.limit().max(1));
         // Calls ahead for which there are free slots wait only for a report or are held.
         let free = limit.saturating_sub(self.running.len() as u64);
@@ -404,7 +405,7 @@
     }
 
     /// Returns the mean run time of the call's class at the target's normal speed, in µs, or an assumed one.
-    fn class_run_us(&self, request: &Ask) -> f64 {
+    fn class_run_us(&self, request: &AdmissionRequest) -> f64 {
         let known = self.limit.times().mean_us(request.class);
         known.unwrap_or_else(|| (request.useful_us as f64 * ASSUMED_RUN_SHARE).max(RUN_MIN_US))
     }
--- a/crates/laurelstall_guard/src/ledger.rs
+++ b/crates/laurelstall_guard/src/ledger.rs
@@ -33,20 +33,20 @@
 
 /// How to handle a call that brings a ticket.
 #[derive(Debug)]
-pub enum Begin {
+pub enum TicketUse {
     /// First use: the call has to be run, and the token ended with one of the `end_*` methods.
-    Run(RunToken),
+    FirstUse(RunToken),
     /// The call was answered before; this is the stored answer.
-    Kept(Arc<KeptAnswer>),
+    Answered(Arc<KeptAnswer>),
     /// The call is running: wait until the receiver changes, then look the ticket up again.
-    Wait(watch::Receiver<bool>),
+    Running(watch::Receiver<bool>),
     /// The call ran or may have run; its answer is not known.
-    Unknown,
+    OutcomeUnknown,
     /// The call was refused before it ran and never will: it is proved *not run*.
-    NotRun,
+    Void,
     /// The ticket was not issued here, has expired, or was issued before the guard's last restart: the call
     /// is not run now, but may have run before.
-    Foreign,
+    Invalid,
 }
 
 /// The first use of a ticket; ended by exactly one of the `end_*` methods of [`Ledger`].
@@ -107,7 +107,7 @@
 
     /// Issues up to `count` tickets with consecutive numbers; returns the first number and how many were
     /// issued.
-    pub fn give(&mut self, count: u32, lifetime_us: u64, now_us: u64) -> (u64, u32) {
+    pub fn issue(&mut self, count: u32, lifetime_us: u64, now_us: u64) -> (u64, u32) {
         self.expire(now_us);
         let available = self.tickets_max.saturating_sub(self.open).min(BATCH_MAX as usize) as u32;
         let count = count.min(available);
@@ -125,18 +125,18 @@
 
     /// Looks up ticket `number` of `incarnation` for a call that brings it, and marks it as running on its
     /// first use.
-    pub fn begin(&mut self, incarnation: u64, number: u64, now_us: u64) -> Begin {
+    pub fn use_ticket(&mut self, incarnation: u64, number: u64, now_us: u64) -> TicketUse {
         self.expire(now_us);
         let is_known = self.batches.iter().any(|batch| (batch.first..batch.end).contains(&number));
         if incarnation != self.incarnation || !is_known {
-            return Begin::Foreign;
+            return TicketUse::Invalid;
         }
         match self.entries.get(&number) {
-            None => Begin::Run(self.start(number)),
-            Some(Entry::Running(done, _)) => Begin::Wait(done.clone()),
-            Some(Entry::Answered(answer)) => Begin::Kept(answer.clone()),
-            Some(Entry::OutcomeUnknown) => Begin::Unknown,
-            Some(Entry::Void) => Begin::NotRun,
+            None => TicketUse::FirstUse(self.start(number)),
+            Some(Entry::Running(done, _)) => TicketUse::Running(done.clone()),
+            Some(Entry::Answered(answer)) => TicketUse::Answered(answer.clone()),
+            Some(Entry::OutcomeUnknown) => TicketUse::OutcomeUnknown,
+            Some(Entry::Void) => TicketUse::Void,
         }
     }
 
--- a/crates/laurelstall_guard/src/refusal.rs
+++ b/crates/laurelstall_guard/src/refusal.rs
@@ -7,7 +7,7 @@
 /// Reason of a refusal. Each reason proves that the attempt did not run.
 ///
 /// Nodes send a reason as its index, so new reasons are added at the end. All handling that depends on the
-/// reason is defined in [`RefusalReason::facts`].
+/// reason is defined in [`RefusalReason::properties`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
     /// The target or its node is draining.
@@ -27,7 +27,8 @@
     /// The target reported that it shed the request before running it.
     Shed,
     /// The sender is not a host of the fleet.
-    Stranger,
+    #[serde(rename = "Stranger")]
+    UnknownSender,
     /// No attempt was sent because no target may take the call now.
     NoTarget,
     /// The ticket is void because its call was refused before.
@@ -41,7 +42,8 @@
     /// The target is in its cold start, and its cold-start limit has no capacity for the call in time.
     Cold,
     /// The request is quarantined because targets crashed while running it.
-    Held,
+    #[serde(rename = "Held")]
+    Quarantined,
 }
 
 /// The component that refused an attempt.
@@ -63,56 +65,56 @@
     /// Try another target, or the same one again, as often as the service's limit on hand-backs allows.
     HandBack,
     /// Try another target. The call may return to this one, which must not refuse it for this reason then.
-    PassOver,
+    SkipSlow,
     /// Try another target free of charge, because the request reached no target.
-    ElsewhereFree,
+    RetryFree,
     /// Try another target at the expense of a separate budget, or a few times for a nested call: the request
     /// reached no target, but other targets may be as full.
-    ElsewhereFew,
+    RetryLimited,
     /// Try another target at the expense of the retry budget, because the request reached a target.
-    ElsewherePaid,
+    RetryBudgeted,
 }
 
 /// What a refusal indicates about the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lesson {
+pub enum TargetSignal {
     /// Nothing.
     Nothing,
     /// Calls wait in its queue.
-    SomeWait,
+    Queueing,
     /// Its queue is full.
-    IsFull,
+    Full,
     /// It is in a slow phase.
-    IsSlow,
+    Slow,
     /// It takes no call before the retry time given in the refusal, because of its cold-start limit.
-    HasNoPlace,
+    ColdLimit,
     /// It is draining.
-    Drains,
+    Draining,
     /// It cannot be reached under this name for now.
-    IsAbsent,
+    Unreachable,
     /// The attempt failed, so that a target which refuses at once does not look idle.
-    Fails,
+    Failing,
 }
 
 /// How a reason is reported and handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RefusalFacts {
+pub struct RefusalProperties {
     /// The name used in logs, headers and metrics.
-    pub word: &'static str,
+    pub name: &'static str,
     /// The component that refused.
     pub source: RefusalSource,
     /// What the entry does next.
     pub next: NextStep,
     /// What the entry learns about the target.
-    pub lesson: Lesson,
+    pub signal: TargetSignal,
     /// Whether the refusal proves that a ticket's call never runs, rather than only that this attempt did
     /// not.
-    pub proves_ticket: bool,
+    pub proves_ticket_not_run: bool,
 }
 
-impl RefusalFacts {
+impl RefusalProperties {
     /// Returns whether the request reached a target, so that a further attempt is a further arrival.
-    pub fn has_arrived(&self) -> bool {
+    pub fn has_reached_target(&self) -> bool {
         self.source == RefusalSource::Target
     }
 }
@@ -128,52 +130,52 @@
         Self::Unreadable,
         Self::NoConnection,
         Self::Shed,
-        Self::Stranger,
+        Self::UnknownSender,
         Self::NoTarget,
         Self::TicketVoid,
         Self::Slow,
         Self::Busy,
         Self::Replaced,
         Self::Cold,
-        Self::Held,
+        Self::Quarantined,
     ];
 
     /// Returns how this reason is reported and handled.
     #[rustfmt::skip]
-    pub const fn facts(self) -> RefusalFacts {
-        use Lesson as L;
+    pub const fn properties(self) -> RefusalProperties {
+        use TargetSignal as T;
         use NextStep as N;
         use RefusalSource as S;
-        let (word, source, next, lesson, proves_ticket) = match self {
-            Self::Draining     => ("draining",      S::Guard,  N::ElsewhereFree, L::Drains,   true),
-            Self::QueueFull    => ("queue-full",    S::Guard,  N::ElsewhereFew,  L::IsFull,   true),
-            Self::Deadline     => ("deadline",      S::Guard,  N::GiveUp,        L::Nothing,  true),
-            Self::HandedBack   => ("handed-back",   S::Guard,  N::HandBack,      L::SomeWait, true),
-            Self::OtherTarget  => ("other-target",  S::Guard,  N::ElsewhereFree, L::IsAbsent, false),
-            Self::Unreadable   => ("unreadable",    S::Guard,  N::ElsewhereFree, L::Nothing,  false),
-            Self::NoConnection => ("no-connection", S::Entry,  N::ElsewhereFree, L::Fails,    false),
-            Self::Shed         => ("shed",          S::Target, N::ElsewherePaid, L::Fails,    true),
-            Self::Stranger     => ("stranger",      S::Guard,  N::ElsewhereFew,  L::Nothing,  false),
-            Self::NoTarget     => ("no-target",     S::Entry,  N::GiveUp,        L::Nothing,  true),
-            Self::TicketVoid   => ("ticket-void",   S::Guard,  N::GiveUp,        L::Nothing,  true),
-            Self::Slow         => ("slow",          S::Guard,  N::PassOver,      L::IsSlow,   true),
-            Self::Busy         => ("busy",          S::Guard,  N::ElsewhereFew,  L::IsFull,   true),
-            Self::Replaced     => ("replaced",      S::Target, N::ElsewherePaid, L::Fails,    false),
-            Self::Cold         => ("cold",          S::Guard,  N::ElsewhereFew,  L::HasNoPlace, true),
-            Self::Held         => ("held",          S::Guard,  N::GiveUp,        L::Nothing,  true),
+        let (name, source, next, signal, proves_ticket_not_run) = match self {
+            Self::Draining      => ("draining",      S::Guard,  N::RetryFree,     T::Draining,    true),
+            Self::QueueFull     => ("queue-full",    S::Guard,  N::RetryLimited,  T::Full,        true),
+            Self::Deadline      => ("deadline",      S::Guard,  N::GiveUp,        T::Nothing,     true),
+            Self::HandedBack    => ("handed-back",   S::Guard,  N::HandBack,      T::Queueing,    true),
+            Self::OtherTarget   => ("other-target",  S::Guard,  N::RetryFree,     T::Unreachable, false),
+            Self::Unreadable    => ("unreadable",    S::Guard,  N::RetryFree,     T::Nothing,     false),
+            Self::NoConnection  => ("no-connection", S::Entry,  N::RetryFree,     T::Failing,     false),
+            Self::Shed          => ("shed",          S::Target, N::RetryBudgeted, T::Failing,     true),
+            Self::UnknownSender => ("stranger",      S::Guard,  N::RetryLimited,  T::Nothing,     false),
+            Self::NoTarget      => ("no-target",     S::Entry,  N::GiveUp,        T::Nothing,     true),
+            Self::TicketVoid    => ("ticket-void",   S::Guard,  N::GiveUp,        T::Nothing,     true),
+            Self::Slow          => ("slow",          S::Guard,  N::SkipSlow,      T::Slow,        true),
+            Self::Busy          => ("busy",          S::Guard,  N::RetryLimited,  T::Full,        true),
+            Self::Replaced      => ("replaced",      S::Target, N::RetryBudgeted, T::Failing,     false),
+            Self::Cold          => ("cold",          S::Guard,  N::RetryLimited,  T::ColdLimit,   true),
+            Self::Quarantined   => ("held",          S::Guard,  N::GiveUp,        T::Nothing,     true),
         };
-        RefusalFacts { word, source, next, lesson, proves_ticket }
+        RefusalProperties { name, source, next, signal, proves_ticket_not_run }
     }
 
     /// Returns the name used in logs, headers and metrics.
-    pub const fn word(self) -> &'static str {
-        self.facts().word
+    pub const fn name(self) -> &'static str {
+        self.properties().name
     }
 }
 
 impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.name())
     }
 }
 
--- a/crates/laurelstall_guard/src/start_decision.rs
+++ b/crates/laurelstall_guard/src/start_decision.rs
@@ -6,7 +6,7 @@
 //! probability of an answer in time, plus a smaller utility of a late answer, less the opportunity cost of
 //! the slot.
 
-use crate::pace::SpeedForecast;
+use crate::target_speed::SpeedForecast;
 
 /// Utility of an answer that comes late but before the deadline; an answer in time has 1.
 const LATE_UTILITY: f64 = 0.25;
--- a/crates/laurelstall_guard/src/target_identity.rs
+++ b/crates/laurelstall_guard/src/target_identity.rs
@@ -19,11 +19,11 @@
 
 /// Under which name a call may be sent to the instance, if at all.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claim {
+pub enum SendDecision {
     /// Send it under this name.
     SendAs(String),
-    /// Query the instance for its name first; see [`TargetIdentity::note_word`].
-    Ask,
+    /// Query the instance for its name first; see [`TargetIdentity::note_reported_name`].
+    QueryFirst,
     /// Refuse it for now.
     Refuse {
         /// Time after which to retry, in µs.
@@ -91,17 +91,17 @@
     }
 
     /// Sets the name from the published list; a new name discards what the instance reported.
-    pub fn follow_list(&mut self, listed: &str) {
+    pub fn set_listed_name(&mut self, listed: &str) {
         if self.listed == listed {
             return;
         }
         listed.clone_into(&mut self.listed);
-        self.forget_word();
+        self.forget_report();
     }
 
     /// Discards what the instance reported and showed, because another instance was started under the same
     /// name.
-    pub fn forget_word(&mut self) {
+    pub fn forget_report(&mut self) {
         self.successor = None;
         self.is_report_wrong = false;
         self.doubt = None;
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether a call that an entry addressed to `name` is for this instance.
-    pub fn is_called(&self, name: &str) -> bool {
+    pub fn is_addressed_as(&self, name: &str) -> bool {
         self.listed == name || self.successor.as_deref() == Some(name)
     }
 
@@ -125,23 +125,23 @@
     }
 
     /// Decides how a call may be sent now; `can_query` is whether the instance reports its name when queried.
-    pub fn claim(&mut self, can_query: bool, now_us: u64) -> Claim {
+    pub fn decide_send(&mut self, can_query: bool, now_us: u64) -> SendDecision {
         if let Some(wait_us) = self.refused_for_us(now_us) {
-            return Claim::Refuse { wait_us };
+            return SendDecision::Refuse { wait_us };
         }
         let is_first = !self.has_reported && !self.listed.is_empty() && now_us < self.first_report_until_us;
         let needs_first_report = is_first && now_us >= self.no_query_until_us;
         if can_query && (needs_first_report || self.doubt.is_some()) {
-            return Claim::Ask;
+            return SendDecision::QueryFirst;
         }
         self.send(now_us)
     }
 
     /// Records the name that the instance reported; `None` when it replied without a name.
-    pub fn note_word(&mut self, name: Option<&str>, now_us: u64) {
+    pub fn note_reported_name(&mut self, name: Option<&str>, now_us: u64) {
         let is_first = !mem::replace(&mut self.has_reported, true);
         let Some(name) = name else { return };
-        if is_first && now_us < self.first_report_until_us && !self.is_called(name) {
+        if is_first && now_us < self.first_report_until_us && !self.is_addressed_as(name) {
             self.successor = Some(name.to_owned());
         }
         if self.name() == name || self.is_report_wrong || self.refused_for_us(now_us).is_some() {
@@ -155,18 +155,18 @@
     }
 
     /// Records that the instance did not reply to a query; the next report counts as its first.
-    pub fn note_silence(&mut self, now_us: u64) {
+    pub fn note_no_reply(&mut self, now_us: u64) {
         self.no_query_until_us = now_us + NO_REPLY_PAUSE_US;
     }
 
     /// Decides how the call that queried the instance may be sent, after the report was recorded.
-    pub fn claim_after_word(&mut self, now_us: u64) -> Claim {
-        self.claim(false, now_us)
+    pub fn decide_send_after_report(&mut self, now_us: u64) -> SendDecision {
+        self.decide_send(false, now_us)
     }
 
     /// Returns the decision for a call that queried the instance when no connection could be opened.
-    pub fn claim_unreached() -> Claim {
-        Claim::Refuse { wait_us: PAUSE_MIN_US }
+    pub fn refuse_unreachable() -> SendDecision {
+        SendDecision::Refuse { wait_us: PAUSE_MIN_US }
     }
 
     /// Records that the instance denied `name`, under which a request was sent to it.
@@ -203,12 +203,12 @@
     }
 
     /// Sends one call; while the name is in doubt, others wait for its result.
-    fn send(&mut self, now_us: u64) -> Claim {
+    fn send(&mut self, now_us: u64) -> SendDecision {
         if let Some(doubt) = &mut self.doubt {
             doubt.is_probing = true;
             doubt.until_us = now_us + pause_us(doubt.denials);
         }
-        Claim::SendAs(self.name().to_owned())
+        SendDecision::SendAs(self.name().to_owned())
     }
 
     /// Blocks calls for a while because the instance is not the one in the list.
--- a/crates/laurelstall_guard/src/wait_queue.rs
+++ b/crates/laurelstall_guard/src/wait_queue.rs
@@ -1,7 +1,7 @@
 //! Priority queue of the calls that wait at a guard.
 
 use crate::{
-    ask::{Ask, Rank},
+    admission_request::{AdmissionRequest, Rank},
     refusal::RefusalReason,
 };
 use std::{cmp::Reverse, collections::BTreeMap};
@@ -47,7 +47,7 @@
 /// A queued call and the channel that wakes it.
 #[derive(Debug)]
 struct Waiter {
-    request: Ask,
+    request: AdmissionRequest,
     /// Whether the call was accepted into the queue and is not refused because of the target's speed any
     /// more.
     is_accepted: bool,
@@ -64,7 +64,11 @@
 impl WaitQueue {
     /// Adds a call to the queue; a call that is not `is_accepted` may still be refused by the next report of
     /// the target.
-    pub fn push(&mut self, request: &Ask, is_accepted: bool) -> (QueueKey, oneshot::Receiver<Wake>) {
+    pub fn push(
+        &mut self,
+        request: &AdmissionRequest,
+        is_accepted: bool,
+    ) -> (QueueKey, oneshot::Receiver<Wake>) {
         let (wake, woken) = oneshot::channel();
         let key = QueueKey::new(request.rank, request.deadline_us, self.next_number);
         self.next_number += 1;
@@ -73,12 +77,12 @@
     }
 
     /// Returns the request of the first call.
-    pub fn first(&self) -> Option<&Ask> {
+    pub fn first(&self) -> Option<&AdmissionRequest> {
         self.waiting.first_key_value().map(|(_, waiter)| &waiter.request)
     }
 
     /// Iterates over key, request and acceptance of each call, in queue order.
-    pub fn iter(&self) -> impl Iterator<Item = (&QueueKey, &Ask, bool)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&QueueKey, &AdmissionRequest, bool)> {
         self.waiting.iter().map(|(key, waiter)| (key, &waiter.request, waiter.is_accepted))
     }
 
--- a/crates/laurelstall_guard/src/sharer_loads.rs
+++ b/crates/laurelstall_guard/src/workspace_loads.rs
@@ -1,6 +1,6 @@
 //! Calls of each workspace at a guard.
 
-use crate::ask::Sharer;
+use crate::admission_request::WorkspaceShare;
 use std::{
     collections::HashMap,
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -18,25 +18,25 @@
 
 /// Running and queued calls of all workspaces that have any.
 #[derive(Debug, Default)]
-pub struct SharerLoads {
+pub struct WorkspaceLoads {
     loads: Mutex<HashMap<u64, Load>>,
 }
 
-impl SharerLoads {
+impl WorkspaceLoads {
     /// Counts a call until the result is dropped.
-    pub fn enter(self: &Arc<Self>, sharer: Sharer) -> SharerCall {
+    pub fn enter(self: &Arc<Self>, workspace_share: WorkspaceShare) -> CountedCall {
         let mut loads = self.lock();
-        let load = loads.entry(sharer.id).or_insert(Load { calls: 0, weight: 1 });
+        let load = loads.entry(workspace_share.id).or_insert(Load { calls: 0, weight: 1 });
         load.calls += 1;
-        load.weight = u64::from(sharer.weight.max(1));
+        load.weight = u64::from(workspace_share.weight.max(1));
         drop(loads);
-        SharerCall { loads: self.clone(), id: sharer.id }
+        CountedCall { loads: self.clone(), id: workspace_share.id }
     }
 
     /// Returns whether a workspace has more calls here than its share; such calls are queued behind others.
-    pub fn is_over_share(&self, sharer: Sharer) -> bool {
+    pub fn is_over_share(&self, workspace_share: WorkspaceShare) -> bool {
         let loads = self.lock();
-        let Some(workspace) = loads.get(&sharer.id) else { return false };
+        let Some(workspace) = loads.get(&workspace_share.id) else { return false };
         let calls = loads.values().map(|load| load.calls).sum::<u64>();
         let weights = loads.values().map(|load| load.weight).sum::<u64>();
         let share = calls * workspace.weight / weights.max(1);
@@ -59,12 +59,12 @@
 
 /// A call counted for its workspace until this is dropped.
 #[derive(Debug)]
-pub struct SharerCall {
-    loads: Arc<SharerLoads>,
+pub struct CountedCall {
+    loads: Arc<WorkspaceLoads>,
     id: u64,
 }
 
-impl Drop for SharerCall {
+impl Drop for CountedCall {
     fn drop(&mut self) {
         self.loads.leave(self.id);
     }
--- a/crates/laurelstall_guard/tests/admission.rs
+++ b/crates/laurelstall_guard/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Admission, queueing, hand-backs, refusals and draining, on a paused clock.
 
 use laurelstall_guard::{
-    ask::{Ask, Rank, Sharer},
+    admission_request::{AdmissionRequest, Rank, WorkspaceShare},
     clock::Clock,
     guard::{Guard, Permit},
     guard_limits::GuardLimits,
@@ -33,11 +33,11 @@
     (Guard::new(LIMITS, clock), clock)
 }
 
-fn request(clock: &Clock, importance: u8, budget_ms: u64) -> Ask {
+fn request(clock: &Clock, importance: u8, budget_ms: u64) -> AdmissionRequest {
     let deadline_us = clock.now_us() + budget_ms * 1_000;
-    Ask {
+    AdmissionRequest {
         rank: Rank::new(importance, false),
-        sharer: Sharer::NOBODY,
+        workspace_share: WorkspaceShare::NO_WORKSPACE,
         class: 0,
         deadline_us,
         useful_until_us: deadline_us,
@@ -53,7 +53,10 @@
 }
 
 /// Spawns the admission of `request` and lets it reach the queue.
-async fn enqueue(guard: &Arc<Guard>, request: Ask) -> tokio::task::JoinHandle<Result<Permit, Refusal>> {
+async fn enqueue(
+    guard: &Arc<Guard>,
+    request: AdmissionRequest,
+) -> tokio::task::JoinHandle<Result<Permit, Refusal>> {
     let guard = guard.clone();
     let task = tokio::spawn(async move { guard.admit(request).await });
     tokio::task::yield_now().await;
@@ -103,7 +106,10 @@
     let _first = enqueue(&guard, request(&clock, 5, 500)).await;
     let _second = enqueue(&guard, request(&clock, 5, 500)).await;
     // Two calls are ahead of it, each taking about 5 ms on two slots.
-    assert_eq!(reason(guard.admit(Ask { class: 1, ..request(&clock, 0, 2) }).await), RefusalReason::Deadline);
+    assert_eq!(
+        reason(guard.admit(AdmissionRequest { class: 1, ..request(&clock, 0, 2) }).await),
+        RefusalReason::Deadline
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -125,11 +131,11 @@
     record_run(&guard, &clock, 0, 5).await;
     let _held = (guard.admit(request(&clock, 5, 5_000)).await, guard.admit(request(&clock, 5, 5_000)).await);
     let started_us = clock.now_us();
-    let waiting_call = Ask { may_hand_back: true, ..request(&clock, 5, 5_000) };
+    let waiting_call = AdmissionRequest { may_hand_back: true, ..request(&clock, 5, 5_000) };
     assert_eq!(reason(guard.admit(waiting_call).await), RefusalReason::HandedBack);
     let first_us = clock.now_us() - started_us;
     assert!((4_000..=7_000).contains(&first_us), "{first_us}");
-    let again = Ask { hand_backs: 2, ..waiting_call };
+    let again = AdmissionRequest { hand_backs: 2, ..waiting_call };
     assert_eq!(reason(guard.admit(again).await), RefusalReason::HandedBack);
     assert!(clock.now_us() - started_us - first_us >= 4 * first_us - 4_000);
     assert_eq!(guard.load().queued, 0);
@@ -218,7 +224,8 @@
 
 /// Runs one call of `class` for `ms` at the target's normal speed, so that the guard knows its run time.
 async fn record_run(guard: &Arc<Guard>, clock: &Clock, class: u32, ms: u64) {
-    let permit = guard.admit(Ask { class, ..request(clock, 5, 10_000) }).await.expect("a free slot");
+    let permit =
+        guard.admit(AdmissionRequest { class, ..request(clock, 5, 10_000) }).await.expect("a free slot");
     advance(Duration::from_millis(ms)).await;
     drop(permit);
 }
@@ -227,7 +234,7 @@
 async fn a_slow_target_refuses_calls_with_a_choice_until_its_report_is_old() {
     let (guard, clock) = guard();
     guard.note_slowness(400);
-    let with_choice = Ask { slow_from_percent: Some(200), ..request(&clock, 5, 5_000) };
+    let with_choice = AdmissionRequest { slow_from_percent: Some(200), ..request(&clock, 5, 5_000) };
     let refusal = guard.admit(with_choice).await.expect_err("the target is slow");
     assert_eq!((refusal.reason, refusal.slowness_percent), (RefusalReason::Slow, 400));
     guard.admit(request(&clock, 5, 5_000)).await.expect("a call without a choice runs");
@@ -240,7 +247,7 @@
     let (guard, clock) = guard();
     record_run(&guard, &clock, 7, 100).await;
     let useful_until_us = clock.now_us() + 300_000;
-    let request = Ask { class: 7, useful_until_us, ..request(&clock, 5, 5_000) };
+    let request = AdmissionRequest { class: 7, useful_until_us, ..request(&clock, 5, 5_000) };
     guard.note_slowness(400);
     let _idle = guard.admit(request).await.expect("an idle target runs it");
     let refused = guard.admit(request).await;
@@ -258,7 +265,8 @@
         guard.admit(request(&clock, 5, 9_000)).await.expect("a free slot"),
     ];
     let useful_until_us = clock.now_us() + 150_000;
-    let waits = enqueue(&guard, Ask { class: 7, useful_until_us, ..request(&clock, 5, 5_000) }).await;
+    let waits =
+        enqueue(&guard, AdmissionRequest { class: 7, useful_until_us, ..request(&clock, 5, 5_000) }).await;
     advance(Duration::from_millis(40)).await;
     assert!(!waits.is_finished());
     advance(Duration::from_millis(20)).await;
@@ -271,7 +279,7 @@
     let first = guard.admit(request(&clock, 5, 900)).await.expect("a free slot");
     let _second = guard.admit(request(&clock, 5, 900)).await.expect("a free slot");
     let rank = Rank::new(5, true);
-    let returned = enqueue(&guard, Ask { rank, ..request(&clock, 5, 2_000) }).await;
+    let returned = enqueue(&guard, AdmissionRequest { rank, ..request(&clock, 5, 2_000) }).await;
     let fresh = enqueue(&guard, request(&clock, 5, 900)).await;
     let others =
         [enqueue(&guard, request(&clock, 5, 900)).await, enqueue(&guard, request(&clock, 5, 900)).await];
@@ -293,11 +301,11 @@
         ];
         let requested_us = clock.now_us();
         let rank = Rank::new(5, true);
-        let overtaken_request = Ask { class: 7, rank, may_hand_back, ..request(&clock, 5, 160) };
+        let overtaken_request = AdmissionRequest { class: 7, rank, may_hand_back, ..request(&clock, 5, 160) };
         let overtaken = enqueue(&guard, overtaken_request).await;
-        let first = enqueue(&guard, Ask { class: 7, ..request(&clock, 5, 900) }).await;
+        let first = enqueue(&guard, AdmissionRequest { class: 7, ..request(&clock, 5, 900) }).await;
         assert!(!overtaken.is_finished(), "with one call ahead it can be in time");
-        let second = enqueue(&guard, Ask { class: 7, ..request(&clock, 5, 900) }).await;
+        let second = enqueue(&guard, AdmissionRequest { class: 7, ..request(&clock, 5, 900) }).await;
         assert_eq!(reason(overtaken.await.expect("no panic")), expected);
         assert_eq!(clock.now_us(), requested_us, "it is refused at once");
         [first, second].iter().for_each(tokio::task::JoinHandle::abort);
@@ -312,7 +320,7 @@
         guard.admit(request(&clock, 5, 9_000)).await.expect("a free slot"),
     ];
     let requested_us = clock.now_us();
-    let refused = guard.admit(Ask { may_hand_back: true, ..request(&clock, 5, 400) }).await;
+    let refused = guard.admit(AdmissionRequest { may_hand_back: true, ..request(&clock, 5, 400) }).await;
     assert_eq!(reason(refused), RefusalReason::HandedBack);
     let waited_us = clock.now_us() - requested_us;
     // A run is assumed to take 140 of 400 ms, so the longest wait is 260 ms.
@@ -332,9 +340,9 @@
     // A run is assumed to take 105 ms: with two slots, two more calls can be in time, and a third cannot.
     let _waits =
         [enqueue(&guard, request(&clock, 5, 300)).await, enqueue(&guard, request(&clock, 5, 300)).await];
-    let late = Ask { deadline_us: clock.now_us() + 3_000_000, ..request(&clock, 5, 150) };
+    let late = AdmissionRequest { deadline_us: clock.now_us() + 3_000_000, ..request(&clock, 5, 150) };
     assert_eq!(
-        reason(guard.admit(Ask { useful_until_us: late.deadline_us, ..late }).await),
+        reason(guard.admit(AdmissionRequest { useful_until_us: late.deadline_us, ..late }).await),
         RefusalReason::QueueFull
     );
 }
--- a/crates/laurelstall_guard/tests/cold_bound.rs
+++ b/crates/laurelstall_guard/tests/cold_bound.rs
@@ -1,6 +1,6 @@
 //! The cold-start limit holds within any second, whatever the order of calls and reports.
 
-use laurelstall_guard::cold_bound::ColdStartLimiter;
+use laurelstall_guard::cold_start_limiter::ColdStartLimiter;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::collections::VecDeque;
 
--- a/crates/laurelstall_guard/tests/held_calls.rs
+++ b/crates/laurelstall_guard/tests/held_calls.rs
@@ -1,7 +1,7 @@
 //! Calls held during the target's slow phases, on a paused clock.
 
 use laurelstall_guard::{
-    ask::{Ask, Rank, Sharer},
+    admission_request::{AdmissionRequest, Rank, WorkspaceShare},
     clock::Clock,
     guard::{Guard, Permit},
     guard_limits::GuardLimits,
@@ -30,11 +30,11 @@
 
 type Admission = JoinHandle<Result<Permit, Refusal>>;
 
-fn request(clock: &Clock) -> Ask {
+fn request(clock: &Clock) -> AdmissionRequest {
     let now_us = clock.now_us();
-    Ask {
+    AdmissionRequest {
         rank: Rank::new(5, false),
-        sharer: Sharer::NOBODY,
+        workspace_share: WorkspaceShare::NO_WORKSPACE,
         class: 7,
         deadline_us: now_us + 1_200_000,
         useful_until_us: now_us + 600_000,
@@ -45,7 +45,7 @@
     }
 }
 
-async fn enqueue(guard: &Arc<Guard>, request: Ask) -> Admission {
+async fn enqueue(guard: &Arc<Guard>, request: AdmissionRequest) -> Admission {
     let guard = guard.clone();
     let task = tokio::spawn(async move { guard.admit(request).await });
     yield_now().await;
@@ -83,7 +83,7 @@
 async fn held_calls_start_when_the_last_report_is_old() {
     let (guard, clock) = slow_guard().await;
     let querying_guard = guard.clone();
-    let query_task = tokio::spawn(async move { querying_guard.report_wanted().await });
+    let query_task = tokio::spawn(async move { querying_guard.report_needed().await });
     let held = enqueue(&guard, request(&clock)).await;
     let started = timeout(Duration::from_millis(900), held).await;
     started.expect("it starts without a query").expect("no panic").expect("it starts");
@@ -94,18 +94,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_call_waits_for_a_useful_report_and_starts_when_the_query_fails() {
     let (guard, clock) = slow_guard().await;
-    guard.set_can_look(true);
+    guard.set_can_query(true);
     advance(Duration::from_millis(300)).await;
     let first = enqueue(&guard, request(&clock)).await;
-    timeout(Duration::from_millis(1), guard.report_wanted()).await.expect("the last report is old");
+    timeout(Duration::from_millis(1), guard.report_needed()).await.expect("the last report is old");
     assert!(!first.is_finished());
-    guard.note_look(None);
+    guard.note_query_result(None);
     yield_now().await;
     let started = timeout(Duration::from_millis(400), first).await.expect("in time for its answer");
     let permit = started.expect("no panic").expect("it starts without a report");
     permit.release_uncounted();
     let querying_guard = guard.clone();
-    let query_task = tokio::spawn(async move { querying_guard.report_wanted().await });
+    let query_task = tokio::spawn(async move { querying_guard.report_needed().await });
     let second = enqueue(&guard, request(&clock)).await;
     let started = timeout(Duration::from_millis(400), second).await;
     started.expect("in time for its answer").expect("no panic").expect("it starts without a report");
@@ -116,10 +116,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_call_with_a_choice_is_refused_when_the_report_is_slow() {
     let (guard, clock) = slow_guard().await;
-    guard.set_can_look(true);
+    guard.set_can_query(true);
     guard.note_slowness(100);
     advance(Duration::from_millis(300)).await;
-    let with_choice = Ask { slow_from_percent: Some(200), ..request(&clock) };
+    let with_choice = AdmissionRequest { slow_from_percent: Some(200), ..request(&clock) };
     let queued = enqueue(&guard, with_choice).await;
     assert!(!queued.is_finished());
     guard.note_slowness(500);
@@ -178,7 +178,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_held_call_does_not_start_long_after_draining_began() {
     let (guard, clock) = slow_guard().await;
-    let request = Ask { deadline_us: clock.now_us() + 9_000_000, ..request(&clock) };
+    let request = AdmissionRequest { deadline_us: clock.now_us() + 9_000_000, ..request(&clock) };
     let held = [enqueue(&guard, request).await, enqueue(&guard, request).await];
     guard.set_draining(true);
     advance(Duration::from_millis(500)).await;
@@ -199,7 +199,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_target_is_queried_at_most_fifty_times_a_second() {
     let (guard, clock) = slow_guard().await;
-    guard.set_can_look(true);
+    guard.set_can_query(true);
     // Phases of some 10 ms make each report outdated at once.
     for turn in 0..200 {
         advance(Duration::from_millis(10)).await;
@@ -209,9 +209,9 @@
     let counted = queries.clone();
     let query_task = tokio::spawn(async move {
         loop {
-            querying_guard.report_wanted().await;
+            querying_guard.report_needed().await;
             counted.fetch_add(1, Ordering::SeqCst);
-            querying_guard.note_look(Some(500));
+            querying_guard.note_query_result(Some(500));
         }
     });
     let mut calls = Vec::new();
@@ -237,7 +237,7 @@
     let clock = Clock::new();
     let guard = Guard::new(LIMITS, clock);
     // An entry without information about other targets accepts three times the normal slowness.
-    let without_information = Ask { slow_from_percent: Some(300), ..request(&clock) };
+    let without_information = AdmissionRequest { slow_from_percent: Some(300), ..request(&clock) };
     guard.note_slowness(200);
     let permit = guard.admit(without_information).await.expect("a cold target takes it");
     // The guard has just started as well, so its first report may come from a slow phase.
--- a/crates/laurelstall_guard/tests/limit_search.rs
+++ b/crates/laurelstall_guard/tests/limit_search.rs
@@ -1,7 +1,7 @@
 //! The adaptive concurrency limit on models of a target, with and without a number of running calls above
 //! which it slows down, and with and without neighbours that use its host's capacity.
 
-use laurelstall_guard::limit_search::{AdaptiveLimit, SampleKind};
+use laurelstall_guard::adaptive_limit::{AdaptiveLimit, SampleKind};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::collections::BTreeMap;
 
--- a/crates/laurelstall_guard/tests/refusal.rs
+++ b/crates/laurelstall_guard/tests/refusal.rs
@@ -1,46 +1,46 @@
 //! How refusals are reported and handled, by reason.
 
-use laurelstall_guard::refusal::{Lesson, NextStep, RefusalReason, RefusalSource};
+use laurelstall_guard::refusal::{NextStep, RefusalReason, RefusalSource, TargetSignal};
 use std::collections::HashSet;
 
 #[test]
 fn requests_that_reached_a_target_are_never_retried_free_of_charge() {
     for reason in RefusalReason::ALL {
-        let facts = reason.facts();
-        let is_paid = matches!(facts.next, NextStep::ElsewherePaid | NextStep::GiveUp);
-        assert!(!facts.has_arrived() || is_paid, "{reason}");
+        let properties = reason.properties();
+        let is_paid = matches!(properties.next, NextStep::RetryBudgeted | NextStep::GiveUp);
+        assert!(!properties.has_reached_target() || is_paid, "{reason}");
     }
 }
 
 #[test]
 fn a_refusal_by_the_target_counts_as_a_failure() {
     for reason in RefusalReason::ALL {
-        let facts = reason.facts();
-        assert!(!facts.has_arrived() || facts.lesson == Lesson::Fails, "{reason}");
+        let properties = reason.properties();
+        assert!(!properties.has_reached_target() || properties.signal == TargetSignal::Failing, "{reason}");
     }
 }
 
 #[test]
 fn only_requests_that_reached_a_target_use_the_retry_budget() {
     for reason in RefusalReason::ALL {
-        let facts = reason.facts();
-        assert!(facts.next != NextStep::ElsewherePaid || facts.has_arrived(), "{reason}");
+        let properties = reason.properties();
+        assert!(properties.next != NextStep::RetryBudgeted || properties.has_reached_target(), "{reason}");
     }
 }
 
 #[test]
 fn free_retries_tell_the_entry_something_about_the_target() {
     for reason in RefusalReason::ALL {
-        let facts = reason.facts();
-        let is_free = facts.next == NextStep::ElsewhereFree;
-        let is_known = facts.lesson != Lesson::Nothing || reason == RefusalReason::Unreadable;
+        let properties = reason.properties();
+        let is_free = properties.next == NextStep::RetryFree;
+        let is_known = properties.signal != TargetSignal::Nothing || reason == RefusalReason::Unreadable;
         assert!(!is_free || is_known, "{reason}: the next call would go to the same target");
     }
 }
 
 #[test]
 fn names_and_indices_of_reasons_are_unique() {
-    let names = RefusalReason::ALL.map(RefusalReason::word);
+    let names = RefusalReason::ALL.map(RefusalReason::name);
     assert_eq!(names.iter().collect::<HashSet<_>>().len(), RefusalReason::ALL.len());
     for (index, reason) in RefusalReason::ALL.into_iter().enumerate() {
         assert_eq!(reason as usize, index, "{reason}");
@@ -51,36 +51,36 @@
 fn the_page_on_refusals_matches_the_code() {
     let page = include_str!("../../../docs/REFUSALS.md");
     for reason in RefusalReason::ALL {
-        let facts = reason.facts();
+        let properties = reason.properties();
         let yes_or_no = |is_true: bool| if is_true { "yes" } else { "no" };
-        let source = match facts.source {
+        let source = match properties.source {
             RefusalSource::Entry => "entry",
             RefusalSource::Guard => "guard",
             RefusalSource::Target => "target",
         };
-        let next = match facts.next {
+        let next = match properties.next {
             NextStep::GiveUp => "give up",
             NextStep::HandBack => "hand back",
-            NextStep::PassOver => "pass over",
-            NextStep::ElsewhereFree => "elsewhere, free",
-            NextStep::ElsewhereFew => "elsewhere, few",
-            NextStep::ElsewherePaid => "elsewhere, paid",
+            NextStep::SkipSlow => "pass over",
+            NextStep::RetryFree => "elsewhere, free",
+            NextStep::RetryLimited => "elsewhere, few",
+            NextStep::RetryBudgeted => "elsewhere, paid",
         };
-        let lesson = match facts.lesson {
-            Lesson::Nothing => "nothing",
-            Lesson::SomeWait => "some wait",
-            Lesson::IsFull => "it is full",
-            Lesson::IsSlow => "it is slow",
-            Lesson::HasNoPlace => "it has no place",
-            Lesson::Drains => "it drains",
-            Lesson::IsAbsent => "it is absent",
-            Lesson::Fails => "it fails",
+        let signal = match properties.signal {
+            TargetSignal::Nothing => "nothing",
+            TargetSignal::Queueing => "some wait",
+            TargetSignal::Full => "it is full",
+            TargetSignal::Slow => "it is slow",
+            TargetSignal::ColdLimit => "it has no place",
+            TargetSignal::Draining => "it drains",
+            TargetSignal::Unreachable => "it is absent",
+            TargetSignal::Failing => "it fails",
         };
         let row = format!(
-            "| `{}` | {source} | {} | {next} | {lesson} | {} |",
-            facts.word,
-            yes_or_no(facts.has_arrived()),
-            yes_or_no(facts.proves_ticket),
+            "| `{}` | {source} | {} | {next} | {signal} | {} |",
+            properties.name,
+            yes_or_no(properties.has_reached_target()),
+            yes_or_no(properties.proves_ticket_not_run),
         );
         assert!(page.contains(&row), "{row}");
     }
--- a/crates/laurelstall_guard/tests/start_decision.rs
+++ b/crates/laurelstall_guard/tests/start_decision.rs
@@ -1,9 +1,9 @@
 //! Decisions to start or hold a call, and the gain of a report, on known cases.
 
 use laurelstall_guard::{
-    pace::{SpeedForecast, TargetSpeed},
     phase_times::PhaseTimes,
     start_decision::{SlotDemand, StartCandidate, StartDecision, StartForecast},
+    target_speed::{SpeedForecast, TargetSpeed},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 
--- a/crates/laurelstall_guard/tests/tickets.rs
+++ b/crates/laurelstall_guard/tests/tickets.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use laurelstall_guard::{
-    ledger::{Begin, KeptAnswer, Ledger, RunToken},
+    ledger::{KeptAnswer, Ledger, RunToken, TicketUse},
     ticket::Ticket,
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -16,8 +16,8 @@
 }
 
 fn begin_run(ledger: &mut Ledger, number: u64) -> RunToken {
-    match ledger.begin(INCARNATION, number, 0) {
-        Begin::Run(token) => token,
+    match ledger.use_ticket(INCARNATION, number, 0) {
+        TicketUse::FirstUse(token) => token,
         other => panic!("{other:?}"),
     }
 }
@@ -25,49 +25,49 @@
 #[test]
 fn a_repeated_call_waits_for_or_gets_the_stored_answer() {
     let mut ledger = Ledger::new(INCARNATION, 10);
-    let (first, count) = ledger.give(2, LIFETIME_US, 0);
+    let (first, count) = ledger.issue(2, LIFETIME_US, 0);
     assert_eq!(count, 2);
     let token = begin_run(&mut ledger, first);
-    let Begin::Wait(mut done) = ledger.begin(INCARNATION, first, 0) else { panic!("it runs") };
+    let TicketUse::Running(mut done) = ledger.use_ticket(INCARNATION, first, 0) else { panic!("it runs") };
     assert!(!*done.borrow_and_update());
     ledger.end_answered(token, Some(answer("sold")));
     assert!(*done.borrow_and_update());
-    let Begin::Kept(kept) = ledger.begin(INCARNATION, first, 0) else { panic!("it is kept") };
+    let TicketUse::Answered(kept) = ledger.use_ticket(INCARNATION, first, 0) else { panic!("it is kept") };
     assert_eq!(kept.body, "sold");
 }
 
 #[test]
 fn void_used_unknown_and_expired_tickets_never_run() {
     let mut ledger = Ledger::new(INCARNATION, 10);
-    let (first, _) = ledger.give(3, LIFETIME_US, 0);
+    let (first, _) = ledger.issue(3, LIFETIME_US, 0);
     let token = begin_run(&mut ledger, first);
     ledger.end_not_run(token);
-    assert!(matches!(ledger.begin(INCARNATION, first, 0), Begin::NotRun));
+    assert!(matches!(ledger.use_ticket(INCARNATION, first, 0), TicketUse::Void));
     let token = begin_run(&mut ledger, first + 1);
     ledger.end_unknown(token);
-    assert!(matches!(ledger.begin(INCARNATION, first + 1, 0), Begin::Unknown));
-    assert!(matches!(ledger.begin(INCARNATION + 1, first + 2, 0), Begin::Foreign));
-    assert!(matches!(ledger.begin(INCARNATION, first + 3, 0), Begin::Foreign));
-    assert!(matches!(ledger.begin(INCARNATION, first + 2, LIFETIME_US), Begin::Foreign));
+    assert!(matches!(ledger.use_ticket(INCARNATION, first + 1, 0), TicketUse::OutcomeUnknown));
+    assert!(matches!(ledger.use_ticket(INCARNATION + 1, first + 2, 0), TicketUse::Invalid));
+    assert!(matches!(ledger.use_ticket(INCARNATION, first + 3, 0), TicketUse::Invalid));
+    assert!(matches!(ledger.use_ticket(INCARNATION, first + 2, LIFETIME_US), TicketUse::Invalid));
 }
 
 #[test]
 fn the_ledger_is_bounded_and_expiry_frees_capacity() {
     let mut ledger = Ledger::new(INCARNATION, 5);
-    assert_eq!(ledger.give(9, LIFETIME_US, 0).1, 5);
-    assert_eq!(ledger.give(1, LIFETIME_US, 0).1, 0);
-    assert_eq!(ledger.give(9, LIFETIME_US, LIFETIME_US).1, 5);
+    assert_eq!(ledger.issue(9, LIFETIME_US, 0).1, 5);
+    assert_eq!(ledger.issue(1, LIFETIME_US, 0).1, 0);
+    assert_eq!(ledger.issue(9, LIFETIME_US, LIFETIME_US).1, 5);
     assert_eq!(ledger.open(), 5);
 }
 
 #[test]
 fn a_run_that_outlives_its_ticket_leaves_no_record() {
     let mut ledger = Ledger::new(INCARNATION, 5);
-    let (first, _) = ledger.give(1, LIFETIME_US, 0);
+    let (first, _) = ledger.issue(1, LIFETIME_US, 0);
     let token = begin_run(&mut ledger, first);
-    ledger.give(1, LIFETIME_US, LIFETIME_US);
+    ledger.issue(1, LIFETIME_US, LIFETIME_US);
     ledger.end_answered(token, Some(answer("late")));
-    assert!(matches!(ledger.begin(INCARNATION, first, LIFETIME_US), Begin::Foreign));
+    assert!(matches!(ledger.use_ticket(INCARNATION, first, LIFETIME_US), TicketUse::Invalid));
 }
 
 #[test]
@@ -83,21 +83,21 @@
             now_us += rng.random_range(0..5_000);
             match rng.random_range(0..4) {
                 0 => {
-                    let (first, count) = ledger.give(rng.random_range(1..10), LIFETIME_US, now_us);
+                    let (first, count) = ledger.issue(rng.random_range(1..10), LIFETIME_US, now_us);
                     last = first + u64::from(count);
                 }
                 1 | 2 => {
                     let number = rng.random_range(0..last + 2);
-                    match ledger.begin(INCARNATION, number, now_us) {
-                        Begin::Run(token) => {
+                    match ledger.use_ticket(INCARNATION, number, now_us) {
+                        TicketUse::FirstUse(token) => {
                             let count = runs.entry(number).or_default();
                             *count += 1;
                             assert_eq!(*count, 1, "ticket {number} began twice");
                             assert!(!proved_not_run.contains_key(&number), "ticket {number} ran after all");
                             running.push((number, token));
                         }
-                        Begin::NotRun => assert!(proved_not_run.contains_key(&number)),
-                        Begin::Kept(kept) => assert_eq!(kept.body, number.to_string()),
+                        TicketUse::Void => assert!(proved_not_run.contains_key(&number)),
+                        TicketUse::Answered(kept) => assert_eq!(kept.body, number.to_string()),
                         _ => {}
                     }
                 }
--- a/crates/laurelstall_guard/tests/workspaces.rs
+++ b/crates/laurelstall_guard/tests/workspaces.rs
@@ -1,7 +1,7 @@
 //! A target shared by several workspaces, one of which calls it far more than usual.
 
 use laurelstall_guard::{
-    ask::{Ask, Rank, Sharer},
+    admission_request::{AdmissionRequest, Rank, WorkspaceShare},
     clock::Clock,
     guard::Guard,
     guard_limits::GuardLimits,
@@ -37,11 +37,11 @@
     }
 }
 
-fn request(clock: &Clock, sharer: Sharer) -> Ask {
+fn request(clock: &Clock, workspace_share: WorkspaceShare) -> AdmissionRequest {
     let now_us = clock.now_us();
-    Ask {
+    AdmissionRequest {
         rank: Rank::new(5, false),
-        sharer,
+        workspace_share,
         class: 0,
         deadline_us: now_us + 1_000_000,
         useful_until_us: now_us + USEFUL_MS * 1_000,
@@ -64,8 +64,9 @@
         for workspace in 1..=WORKSPACES {
             let factor = if workspace == 1 { HOT } else { 1.0 };
             if rng.random_bool(USUAL_PER_S * factor / 1_000.0) {
-                let sharer = Sharer { id: if is_shared_fairly { workspace } else { 0 }, weight: 1 };
-                calls.spawn(call(guard.clone(), clock, workspace, sharer));
+                let workspace_share =
+                    WorkspaceShare { id: if is_shared_fairly { workspace } else { 0 }, weight: 1 };
+                calls.spawn(call(guard.clone(), clock, workspace, workspace_share));
             }
         }
     }
@@ -79,9 +80,14 @@
     (share(false), share(true))
 }
 
-async fn call(guard: Arc<Guard>, clock: Clock, workspace: u64, sharer: Sharer) -> (u64, bool) {
+async fn call(
+    guard: Arc<Guard>,
+    clock: Clock,
+    workspace: u64,
+    workspace_share: WorkspaceShare,
+) -> (u64, bool) {
     let requested_us = clock.now_us();
-    let Ok(permit) = guard.admit(request(&clock, sharer)).await else { return (workspace, false) };
+    let Ok(permit) = guard.admit(request(&clock, workspace_share)).await else { return (workspace, false) };
     sleep(RUN).await;
     drop(permit);
     (workspace, clock.now_us() - requested_us <= USEFUL_MS * 1_000)
--- a/crates/laurelstall_node/benches/decisions.rs
+++ b/crates/laurelstall_node/benches/decisions.rs
@@ -12,7 +12,7 @@
 use laurelstall_crash::request_digest::{RequestDigest, RequestHead};
 use laurelstall_guard::{
     clock::Clock,
-    ledger::{Begin, Ledger},
+    ledger::{Ledger, TicketUse},
 };
 use laurelstall_node::{
     counters::Counters,
@@ -89,8 +89,8 @@
     criterion.bench_function("ticket given, begun and ended", |b| {
         b.iter(|| {
             now_us += 10;
-            let (first, _) = ledger.give(1, 1_000, now_us);
-            if let Begin::Run(token) = ledger.begin(1, first, now_us) {
+            let (first, _) = ledger.issue(1, 1_000, now_us);
+            if let TicketUse::FirstUse(token) = ledger.use_ticket(1, first, now_us) {
                 ledger.end_unknown(token);
             }
         });
--- a/crates/laurelstall_node/src/call.rs
+++ b/crates/laurelstall_node/src/call.rs
@@ -145,7 +145,7 @@
             // A request that crashes targets is not sent to another one.
             if let Some(refusal) = self.quarantine_refusal() {
                 self.last_refusal = Some(refusal);
-                return self.give_up(RefusalReason::Held);
+                return self.give_up(RefusalReason::Quarantined);
             }
             let Some(destination) = self.choose(now_us) else {
                 return self.give_up(RefusalReason::NoTarget);
--- a/crates/laurelstall_node/src/call/holding.rs
+++ b/crates/laurelstall_node/src/call/holding.rs
@@ -20,7 +20,7 @@
             QuarantineStatus::HalfOpen if !self.begin_local_trial() => TRIAL_ELSEWHERE_RETRY_MS,
             _ => return None,
         };
-        let refusal = Refusal::new(RefusalReason::Held);
+        let refusal = Refusal::new(RefusalReason::Quarantined);
         Some(refusal.with_retry_after_ms(retry_after_ms.try_into().unwrap_or(u32::MAX)))
     }
 
--- a/crates/laurelstall_node/src/call/judging.rs
+++ b/crates/laurelstall_node/src/call/judging.rs
@@ -2,7 +2,7 @@
 
 use super::{Call, Destination, FallbackAnswer};
 use crate::{call_request::CallOutcome, counters::count};
-use laurelstall_guard::refusal::{Lesson, NextStep, Refusal, RefusalReason};
+use laurelstall_guard::refusal::{NextStep, Refusal, RefusalReason, TargetSignal};
 use laurelstall_peer::{
     attempt::{AttemptAnswer, AttemptBody, AttemptOutcome, UnknownCause},
     body::AnswerBody,
@@ -62,32 +62,32 @@
 
     fn handle_refusal(&mut self, destination: &Destination, refusal: Refusal) -> NextAction {
         let index = destination.choice.index;
-        let next = refusal.reason.facts().next;
+        let next = refusal.reason.properties().next;
         match next {
             NextStep::HandBack => {
                 self.hand_backs += 1;
                 count(&self.context.counters.hand_backs);
                 return NextAction::Retry;
             }
-            NextStep::PassOver => {
+            NextStep::SkipSlow => {
                 self.slow.push(index);
                 return NextAction::Retry;
             }
             _ if self.request.ticket.is_some() => return NextAction::Finish(self.give_up(refusal.reason)),
             NextStep::GiveUp => return NextAction::Finish(self.give_up(refusal.reason)),
-            NextStep::ElsewhereFree | NextStep::ElsewhereFew | NextStep::ElsewherePaid => {
+            NextStep::RetryFree | NextStep::RetryLimited | NextStep::RetryBudgeted => {
                 self.excluded.push(index)
             }
         }
         let may_continue = match next {
-            NextStep::ElsewhereFew => self.may_try_another_guard(),
-            NextStep::ElsewherePaid => self.may_retry(Some(refusal)),
+            NextStep::RetryLimited => self.may_try_another_guard(),
+            NextStep::RetryBudgeted => self.may_retry(Some(refusal)),
             _ => true,
         };
         if !may_continue {
             return NextAction::Finish(self.give_up(refusal.reason));
         }
-        if next != NextStep::ElsewherePaid {
+        if next != NextStep::RetryBudgeted {
             count(&self.context.counters.retries_free);
         }
         NextAction::Retry
@@ -150,7 +150,7 @@
         if refusal.reason == RefusalReason::HandedBack {
             refusal.reason = reason;
         }
-        let is_target_absent = refusal.reason.facts().lesson == Lesson::IsAbsent;
+        let is_target_absent = refusal.reason.properties().signal == TargetSignal::Unreachable;
         if refusal.retry_after_ms == 0 || is_target_absent {
             let now_us = self.context.clock.now_us();
             refusal.retry_after_ms = self.service.balancer().retry_after_ms(now_us) as u32;
@@ -162,7 +162,8 @@
     ///
     /// Only the guard that issued the ticket can rule this out, by voiding the ticket.
     fn is_ticket_unresolved(&self) -> bool {
-        let is_voided = self.last_refusal.is_some_and(|refusal| refusal.reason.facts().proves_ticket);
+        let is_voided =
+            self.last_refusal.is_some_and(|refusal| refusal.reason.properties().proves_ticket_not_run);
         self.request.ticket.is_some() && !is_voided
     }
 
--- a/crates/laurelstall_node/src/call/notes.rs
+++ b/crates/laurelstall_node/src/call/notes.rs
@@ -4,7 +4,7 @@
 use crate::{decision_log::Decision, metrics::observe_us};
 use laurelstall_balance::service_balancer::AttemptResult;
 use laurelstall_config::document::{DocumentName, Version};
-use laurelstall_guard::refusal::{Lesson, Refusal};
+use laurelstall_guard::refusal::{Refusal, TargetSignal};
 use laurelstall_peer::attempt::{AttemptAnswer, AttemptOutcome};
 
 impl Call<'_> {
@@ -25,9 +25,9 @@
             }
             AttemptOutcome::Answered { .. } => (AttemptResult::Succeeded(took_us), "answered"),
             AttemptOutcome::NotRun(refusal) => {
-                let facts = refusal.reason.facts();
-                let is_failure = facts.lesson == Lesson::Fails;
-                (if is_failure { AttemptResult::Failed } else { AttemptResult::NotRun }, facts.word)
+                let facts = refusal.reason.properties();
+                let is_failure = facts.signal == TargetSignal::Failing;
+                (if is_failure { AttemptResult::Failed } else { AttemptResult::NotRun }, facts.name)
             }
             AttemptOutcome::Unknown(cause) => (AttemptResult::Failed, cause.word()),
         };
@@ -40,20 +40,20 @@
     fn record_refusal(&self, destination: &Destination, refusal: &Refusal, now_us: u64) {
         let index = destination.choice.index;
         let name = &destination.name;
-        let facts = refusal.reason.facts();
+        let facts = refusal.reason.properties();
         let mut balancer = self.service.balancer();
-        if facts.has_arrived() && self.attempts == 1 {
+        if facts.has_reached_target() && self.attempts == 1 {
             balancer.note_rejected(now_us);
         }
-        match facts.lesson {
-            Lesson::IsFull => balancer.note_queueing(index, name, true, now_us),
-            Lesson::SomeWait => balancer.note_queueing(index, name, false, now_us),
-            Lesson::IsSlow => balancer.note_slow(index, name, refusal.slowness_percent, now_us),
-            Lesson::HasNoPlace => balancer.note_cold_limit(index, name, refusal.retry_after_ms, now_us),
-            Lesson::Drains => balancer.note_draining(index, name, now_us),
-            Lesson::IsAbsent => balancer.note_absent(index, name, refusal.retry_after_ms, now_us),
+        match facts.signal {
+            TargetSignal::Full => balancer.note_queueing(index, name, true, now_us),
+            TargetSignal::Queueing => balancer.note_queueing(index, name, false, now_us),
+            TargetSignal::Slow => balancer.note_slow(index, name, refusal.slowness_percent, now_us),
+            TargetSignal::ColdLimit => balancer.note_cold_limit(index, name, refusal.retry_after_ms, now_us),
+            TargetSignal::Draining => balancer.note_draining(index, name, now_us),
+            TargetSignal::Unreachable => balancer.note_absent(index, name, refusal.retry_after_ms, now_us),
             // A failure is recorded with the result of the attempt.
-            Lesson::Fails | Lesson::Nothing => {}
+            TargetSignal::Failing | TargetSignal::Nothing => {}
         }
     }
 
--- a/crates/laurelstall_node/src/call/sending.rs
+++ b/crates/laurelstall_node/src/call/sending.rs
@@ -5,7 +5,7 @@
 use futures_util::future::{BoxFuture, Either, FutureExt, select};
 use laurelstall_balance::service_balancer::AttemptResult;
 use laurelstall_guard::{
-    ask::AWAITED_IMPORTANCE,
+    admission_request::NESTED_CALL_IMPORTANCE,
     refusal::{Refusal, RefusalReason},
 };
 use laurelstall_peer::{
@@ -167,7 +167,7 @@
 
     /// Returns the importance that the guard ranks the call by.
     pub(super) fn importance(&self) -> u8 {
-        if self.request.is_nested { AWAITED_IMPORTANCE } else { self.request.importance }
+        if self.request.is_nested { NESTED_CALL_IMPORTANCE } else { self.request.importance }
     }
 
     /// Returns the time left of the latency objective in µs, or the whole time budget if there is no objective.
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -472,7 +472,7 @@
 /// Reports a refused call: it ran on no target and may be retried after the refusal's delay.
 fn refused(refusal: &Refusal) -> FailedCall {
     let retry_after_ms = u64::from(refusal.retry_after_ms.max(1));
-    FailedCall::not_run(StatusCode::SERVICE_UNAVAILABLE, refusal.reason.word(), Some(retry_after_ms))
+    FailedCall::not_run(StatusCode::SERVICE_UNAVAILABLE, refusal.reason.name(), Some(retry_after_ms))
 }
 
 /// Converts a rule of the route table into the route of a request to `service`.
--- a/crates/laurelstall_node/src/entry/reading.rs
+++ b/crates/laurelstall_node/src/entry/reading.rs
@@ -11,7 +11,7 @@
 use http::{StatusCode, request::Parts};
 use http_body_util::BodyExt;
 use laurelstall_crash::request_digest::{RequestDigest, RequestHead};
-use laurelstall_guard::ask::call_importance;
+use laurelstall_guard::admission_request::call_importance;
 use laurelstall_peer::{attempt::AttemptBody, body::AnswerBody, client::headers_to_wire};
 use laurelstall_policy::plan::Route;
 use std::sync::PoisonError;
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -20,7 +20,7 @@
 };
 use laurelstall_crash::{crash_record::CrashReport, run_tracker::RunTracker};
 use laurelstall_guard::{
-    ask::{Ask, Rank, Sharer},
+    admission_request::{AdmissionRequest, Rank, WorkspaceShare},
     clock::Clock,
     guard::{Guard, Permit},
     guard_limits::GuardLimits,
@@ -183,7 +183,7 @@
         self.note_own_target(own.map(|(_, target)| target.name.as_str()), &in_force);
         let Some((service, target)) = own else { return };
         let limits = &service.limits;
-        self.inner.guard.set_can_look(!service.load_path.is_empty() && !self.inner.is_plain);
+        self.inner.guard.set_can_query(!service.load_path.is_empty() && !self.inner.is_plain);
         self.inner.ledger().set_tickets_max(limits.tickets_max);
         self.inner.guard.set_limits(if self.inner.is_plain {
             GuardLimits {
@@ -231,7 +231,7 @@
     pub async fn watch_pace(&self) {
         let inner = &self.inner;
         loop {
-            inner.guard.report_wanted().await;
+            inner.guard.report_needed().await;
             inner.look_at_pace().await;
         }
     }
@@ -270,7 +270,7 @@
         }
         let lifetime_ms = service.limits.ticket_lifetime_ms;
         let now_us = self.inner.clock.now_us();
-        let (first, count) = self.inner.ledger().give(request.count, lifetime_ms * 1_000, now_us);
+        let (first, count) = self.inner.ledger().issue(request.count, lifetime_ms * 1_000, now_us);
         self.inner.counters.tickets.fetch_add(u64::from(count), Ordering::Relaxed);
         PeerAnswer::Tickets { incarnation: self.inner.incarnation, first, count, lifetime_ms }
     }
@@ -341,7 +341,7 @@
 
     /// Whether the attempt is meant for `target`, by its listed name or the name of the running instance.
     fn is_named(&self, target: &Target, head: &AttemptHead) -> bool {
-        let is_same_name = || target.name == head.target || self.identity().is_called(&head.target);
+        let is_same_name = || target.name == head.target || self.identity().is_addressed_as(&head.target);
         self.is_own_service(&head.service) && is_same_name()
     }
 
@@ -357,7 +357,7 @@
         if !is_named {
             return Some(RefusalReason::OtherTarget);
         }
-        self.guard.is_past_drain().then_some(RefusalReason::Draining)
+        self.guard.is_drain_grace_over().then_some(RefusalReason::Draining)
     }
 
     fn hint(&self) -> Hint {
@@ -404,23 +404,23 @@
 
     /// Returns the workspace that the call's share of the slots counts for; one unknown to this node has the default
     /// weight.
-    fn sharer(&self, head: &AttemptHead) -> Sharer {
+    fn sharer(&self, head: &AttemptHead) -> WorkspaceShare {
         if head.workspace.is_empty() {
-            return Sharer::NOBODY;
+            return WorkspaceShare::NO_WORKSPACE;
         }
         let team = head.service.split('/').next().unwrap_or_default();
         let in_force = self.active.load();
         let directory = in_force.keys.get(team);
         let workspace = directory.and_then(|directory| directory.named(&head.workspace));
-        let weight = workspace.map_or(Sharer::NOBODY.weight, |workspace| workspace.weight);
-        Sharer { id: xxhash_rust::xxh3::xxh3_64(head.workspace.as_bytes()), weight }
+        let weight = workspace.map_or(WorkspaceShare::NO_WORKSPACE.weight, |workspace| workspace.weight);
+        WorkspaceShare { id: xxhash_rust::xxh3::xxh3_64(head.workspace.as_bytes()), weight }
     }
 
     /// Admits an attempt and runs it at the target.
     pub(crate) async fn run_once(self: &Arc<Self>, run: PendingAttempt) -> AttemptAnswer {
-        let ask = Ask {
+        let ask = AdmissionRequest {
             rank: Rank::new(run.head.importance, run.head.is_return),
-            sharer: self.sharer(&run.head),
+            workspace_share: self.sharer(&run.head),
             class: run.head.class,
             deadline_us: run.deadline_us,
             useful_until_us: run.useful_until_us,
--- a/crates/laurelstall_node/src/target_guard/ends.rs
+++ b/crates/laurelstall_node/src/target_guard/ends.rs
@@ -158,7 +158,7 @@
     }
 
     async fn target_status(&self, target: &str) -> TargetStatus {
-        if !self.guard.can_look() {
+        if !self.guard.can_query() {
             return self.connect_status().await;
         }
         match self.report().await {
@@ -215,7 +215,7 @@
             return None;
         };
         Some(
-            Refusal::new(RefusalReason::Held)
+            Refusal::new(RefusalReason::Quarantined)
                 .with_retry_after_ms(retry_after_ms.try_into().unwrap_or(u32::MAX)),
         )
     }
--- a/crates/laurelstall_node/src/target_guard/instance.rs
+++ b/crates/laurelstall_node/src/target_guard/instance.rs
@@ -8,7 +8,7 @@
 };
 use laurelstall_guard::{
     refusal::{Refusal, RefusalReason},
-    target_identity::{Claim, TargetIdentity},
+    target_identity::{SendDecision, TargetIdentity},
 };
 use std::sync::{MutexGuard, PoisonError};
 
@@ -29,37 +29,37 @@
     ///
     /// Returns a refusal if no request may be sent now.
     pub(super) async fn claim_instance(&self) -> Result<String, Refusal> {
-        let can_ask = self.guard.can_look();
-        let mut claim = self.identity().claim(can_ask, self.clock.now_us());
-        if claim == Claim::Ask {
+        let can_ask = self.guard.can_query();
+        let mut claim = self.identity().decide_send(can_ask, self.clock.now_us());
+        if claim == SendDecision::QueryFirst {
             let _check = self.identity_check.lock().await;
             // Another call may have learned the name while this one waited for the lock.
-            claim = self.identity().claim(can_ask, self.clock.now_us());
-            if claim == Claim::Ask {
+            claim = self.identity().decide_send(can_ask, self.clock.now_us());
+            if claim == SendDecision::QueryFirst {
                 claim = self.check_identity().await;
             }
         }
         match claim {
-            Claim::SendAs(name) => Ok(name),
-            Claim::Refuse { wait_us } => Err(absent_refusal(wait_us)),
-            Claim::Ask => unreachable!("an identity check never asks for another one"),
+            SendDecision::SendAs(name) => Ok(name),
+            SendDecision::Refuse { wait_us } => Err(absent_refusal(wait_us)),
+            SendDecision::QueryFirst => unreachable!("an identity check never asks for another one"),
         }
     }
 
     /// Queries the target for its name.
-    async fn check_identity(&self) -> Claim {
+    async fn check_identity(&self) -> SendDecision {
         count(&self.counters.identity_looks);
         if self.query().await.is_err_and(|error| error == TargetError::NoConnection) {
-            return TargetIdentity::claim_unreached();
+            return TargetIdentity::refuse_unreachable();
         }
-        self.identity().claim_after_word(self.clock.now_us())
+        self.identity().decide_send_after_report(self.clock.now_us())
     }
 
     /// Queries the target once for its load.
     pub(super) async fn look_at_pace(&self) {
         count(&self.counters.pace_looks);
         if self.query().await.is_err() {
-            self.guard.note_look(None);
+            self.guard.note_query_result(None);
         }
     }
 
@@ -70,7 +70,7 @@
             Err(TargetError::Broken) => LookReport::default(),
             report => report?,
         };
-        self.guard.note_look(report.load.map(|load| load.slowness_percent));
+        self.guard.note_query_result(report.load.map(|load| load.slowness_percent));
         if let Some(cold_ms) = report.cold_ms {
             self.guard.note_cold(cold_ms, started_us);
         }
@@ -78,7 +78,7 @@
         if report.is_answered {
             self.note_reported_name(report.instance.as_deref());
         } else {
-            self.identity().note_silence(self.clock.now_us());
+            self.identity().note_no_reply(self.clock.now_us());
         }
         Ok(())
     }
@@ -99,7 +99,7 @@
         let mut identity = self.identity();
         let before = identity.name().to_owned();
         let was_in_doubt = identity.is_in_doubt();
-        identity.note_word(name, self.clock.now_us());
+        identity.note_reported_name(name, self.clock.now_us());
         let after = identity.name().to_owned();
         let is_in_doubt = identity.is_in_doubt();
         drop(identity);
@@ -127,7 +127,7 @@
     /// Records that the target refused a request sent under `name` because it is another instance.
     pub(super) fn note_denied(&self, name: &str) {
         count(&self.counters.target_denials);
-        self.guard.forget_cold();
+        self.guard.discard_cold_report();
         let mut identity = self.identity();
         let was_in_doubt = identity.is_in_doubt();
         identity.note_denied(name, self.clock.now_us());
--- a/crates/laurelstall_node/src/target_guard/listing.rs
+++ b/crates/laurelstall_node/src/target_guard/listing.rs
@@ -40,7 +40,7 @@
             let state = if is_evacuated { "evacuated" } else { "no longer evacuated" };
             log::info!("own data centre is {state}");
             // The target may have become cold while it received no calls.
-            self.inner.guard.forget_cold();
+            self.inner.guard.discard_cold_report();
         }
         self.apply_drains();
     }
@@ -72,16 +72,16 @@
             "own target: '{name}' replaces '{}' in version {version} of the fleet document",
             before.name
         );
-        self.inner.guard.forget_cold();
-        self.inner.identity().follow_list(name);
+        self.inner.guard.discard_cold_report();
+        self.inner.identity().set_listed_name(name);
     }
 
     /// Resets what is known of the target after a restart under the same name. The ticket ledger is kept, so that the
     /// calls of its tickets still run at most once.
     fn note_restart(&self, name: &str, started_unix_ms: u64) {
         log::info!("own target: '{name}' restarted at Unix time {started_unix_ms} ms of its own clock");
-        self.inner.guard.forget_cold();
-        self.inner.identity().forget_word();
+        self.inner.guard.discard_cold_report();
+        self.inner.identity().forget_report();
         if let Some(client) = &self.inner.client {
             client.close_idle();
         }
--- a/crates/laurelstall_node/src/target_guard/sending.rs
+++ b/crates/laurelstall_node/src/target_guard/sending.rs
@@ -163,12 +163,12 @@
                 self.note_no_connection(&target).await;
                 self.guard.note_shed();
                 // The next instance to accept connections has just started.
-                self.guard.forget_cold();
+                self.guard.discard_cold_report();
                 refused(RefusalReason::NoConnection, None)
             }
             Ok(Err(TargetError::Broken)) => {
                 permit.release_uncounted();
-                self.guard.forget_cold();
+                self.guard.discard_cold_report();
                 connection_lost("connection to the target broke", run.note_broken(&target).await)
             }
         }
--- a/crates/laurelstall_node/src/ticket_runs.rs
+++ b/crates/laurelstall_node/src/ticket_runs.rs
@@ -7,7 +7,7 @@
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use laurelstall_guard::{
-    ledger::{Begin, KeptAnswer, RunToken},
+    ledger::{KeptAnswer, RunToken, TicketUse},
     refusal::RefusalReason,
 };
 use laurelstall_peer::{
@@ -30,21 +30,21 @@
     ) -> AttemptAnswer {
         let deadline = self.clock.instant_of(run.deadline_us);
         loop {
-            let begin = self.ledger().begin(incarnation, number, self.clock.now_us());
+            let begin = self.ledger().use_ticket(incarnation, number, self.clock.now_us());
             match begin {
-                Begin::Run(token) => return self.run_detached(run, token).await,
-                Begin::Kept(answer) => {
+                TicketUse::FirstUse(token) => return self.run_detached(run, token).await,
+                TicketUse::Answered(answer) => {
                     count(&self.counters.tickets_kept);
                     return AttemptAnswer::new(kept_outcome(&answer));
                 }
-                Begin::Wait(mut done) => {
+                TicketUse::Running(mut done) => {
                     if timeout_at(deadline, done.wait_for(|is_done| *is_done)).await.is_err() {
                         return unknown("ticket still runs");
                     }
                 }
-                Begin::Unknown => return unknown("ticket ran, answer not kept"),
-                Begin::NotRun => return refused(RefusalReason::TicketVoid, None),
-                Begin::Foreign => return unknown("ticket not known here any more"),
+                TicketUse::OutcomeUnknown => return unknown("ticket ran, answer not kept"),
+                TicketUse::Void => return refused(RefusalReason::TicketVoid, None),
+                TicketUse::Invalid => return unknown("ticket not known here any more"),
             }
         }
     }
