--- a/crates/laurelstall_node/src/background.rs
+++ b/crates/laurelstall_node/src/background.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     active::Active,
-    caller_rules::CallerRules,
+    caller_limits::ActiveCallerLimits,
     counters::{Counters, MetricSender},
     metrics::Gauges,
     observer::Observer,
@@ -25,7 +25,7 @@
     active: Arc<Active>,
     guard: TargetGuard,
     observer: Arc<Observer>,
-    caller_limits: Arc<CallerRules>,
+    caller_limits: Arc<ActiveCallerLimits>,
     quotas: Arc<Quotas>,
 ) {
     let mut changes = active.changes();
--- a/crates/laurelstall_node/src/call.rs
+++ b/crates/laurelstall_node/src/call.rs
@@ -12,7 +12,6 @@
 };
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
-use judging::NextAction;
 use laurelstall_balance::chooser::Choice;
 use laurelstall_guard::{
     clock::Clock,
@@ -24,14 +23,15 @@
     client::PeerClient,
     crash_registry::CrashRegistry,
 };
+use retries::NextAction;
 use std::sync::Arc;
 
-mod asking;
-mod choosing;
-mod holding;
-mod judging;
-mod notes;
-mod sending;
+mod attempts;
+mod outcomes;
+mod quarantine;
+mod retries;
+mod target_choice;
+mod target_queries;
 
 /// State shared by all calls of an entry.
 #[derive(Debug)]
@@ -135,7 +135,7 @@
         let request = &self.request;
         self.service.balancer().note_call(request.budget_importance, request.is_parent_retry, now_us);
         if self.request.ticket.is_none() {
-            asking::query_targets(self.context, &self.service).await;
+            target_queries::query_targets(self.context, &self.service).await;
         }
         loop {
             let now_us = self.context.clock.now_us();
--- a/crates/laurelstall_node/src/caller_rules.rs
+++ b/crates/laurelstall_node/src/caller_limits.rs
@@ -6,7 +6,7 @@
 
 /// Limits that can change while the node runs; each read returns a consistent set.
 #[derive(Debug)]
-pub struct CallerRules {
+pub struct ActiveCallerLimits {
     current: ArcSwap<CallerLimits>,
     sources: Mutex<Sources>,
 }
@@ -17,7 +17,7 @@
     published: PublishedCallerLimits,
 }
 
-impl CallerRules {
+impl ActiveCallerLimits {
     /// Starts with the limits of the settings.
     pub fn new(settings: CallerLimits) -> Arc<Self> {
         let sources = Sources { settings, published: PublishedCallerLimits::default() };
@@ -25,7 +25,7 @@
     }
 
     /// Returns the limits in force.
-    pub fn now(&self) -> CallerLimits {
+    pub fn current(&self) -> CallerLimits {
         **self.current.load()
     }
 
--- a/crates/laurelstall_node/src/dialect.rs
+++ b/crates/laurelstall_node/src/dialect.rs
@@ -13,7 +13,7 @@
 
 /// Information about a call that the entry writes into the request head.
 #[derive(Debug, Clone, Copy)]
-pub struct CallFacts<'a> {
+pub struct CallInfo<'a> {
     /// Number that identifies the call.
     pub call_id: u64,
     /// Depth in the chain of calls for the calls that the target makes.
@@ -26,7 +26,7 @@
 
 /// Information about an attempt that the guard writes into the request head.
 #[derive(Debug, Clone, Copy)]
-pub struct AttemptFacts<'a> {
+pub struct AttemptInfo<'a> {
     /// Time left in ms.
     pub budget_ms: u64,
     /// Name of the target that must run the request.
@@ -43,7 +43,7 @@
     /// The target refused the request without running it, because it was meant for another target.
     OtherTarget,
     /// The answer belongs to another request.
-    Foreign,
+    WrongRequest,
 }
 
 /// Load that a target reports.
@@ -59,7 +59,7 @@
 
 /// How a call without an answer is reported to its caller.
 #[derive(Debug, Clone, Copy)]
-pub struct Failure<'a> {
+pub struct FailureInfo<'a> {
     /// `not-run` or `unknown`.
     pub outcome: &'static str,
     /// Short reason.
@@ -95,10 +95,10 @@
     fn depth(&self, headers: &HeaderMap) -> Result<u64, HeaderName>;
 
     /// Replaces the system's own fields in the head of a request to a target.
-    fn write_call(&self, headers: &mut HeaderMap, facts: &CallFacts<'_>);
+    fn write_call(&self, headers: &mut HeaderMap, info: &CallInfo<'_>);
 
     /// Adds the fields about one attempt.
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
+    fn write_attempt(&self, headers: &mut HeaderMap, info: &AttemptInfo<'_>);
 
     /// Classifies the answer to a request with these headers.
     ///
@@ -130,15 +130,15 @@
         headers: &mut HeaderMap,
         call_id: u64,
         request_id: Option<&str>,
-        failure: &Failure<'_>,
+        failure: &FailureInfo<'_>,
     );
 }
 
 /// The default dialect, with the `laurelstall-*` fields.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct OwnDialect;
+pub struct DefaultDialect;
 
-impl HeaderDialect for OwnDialect {
+impl HeaderDialect for DefaultDialect {
     fn request_id<'a>(&self, _headers: &'a HeaderMap) -> Option<&'a str> {
         None
     }
@@ -159,17 +159,17 @@
         Ok(read_number(headers, &DEPTH)?.unwrap_or(0))
     }
 
-    fn write_call(&self, headers: &mut HeaderMap, facts: &CallFacts<'_>) {
+    fn write_call(&self, headers: &mut HeaderMap, info: &CallInfo<'_>) {
         for name in [BUDGET, DEPTH, CALL, TICKET, OUTCOME] {
             headers.remove(name);
         }
-        headers.insert(DEPTH, number_value(facts.depth));
-        headers.insert(CALL, call_value(facts.call_id));
-        write_workspace(headers, &WORKSPACE, facts.workspace);
+        headers.insert(DEPTH, number_value(info.depth));
+        headers.insert(CALL, call_value(info.call_id));
+        write_workspace(headers, &WORKSPACE, info.workspace);
     }
 
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>) {
-        headers.insert(BUDGET, number_value(facts.budget_ms));
+    fn write_attempt(&self, headers: &mut HeaderMap, info: &AttemptInfo<'_>) {
+        headers.insert(BUDGET, number_value(info.budget_ms));
     }
 
     fn answer_kind(
@@ -205,7 +205,7 @@
         headers: &mut HeaderMap,
         call_id: u64,
         _request_id: Option<&str>,
-        failure: &Failure<'_>,
+        failure: &FailureInfo<'_>,
     ) {
         headers.insert(OUTCOME, HeaderValue::from_static(failure.outcome));
         headers.insert(REASON, text_value(failure.reason));
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -5,10 +5,10 @@
     body::whole,
     call::{Call, CallContext},
     call_request::CallOutcome,
-    caller_rules::CallerRules,
+    caller_limits::ActiveCallerLimits,
     counters::count,
     decision_log::{CallEnd, Decision},
-    dialect::Failure,
+    dialect::FailureInfo,
     headers::{TICKET, host_of},
     metrics::observe_us,
     milestones::{Milestone, Milestones},
@@ -38,11 +38,11 @@
     atomic::{AtomicBool, Ordering},
 };
 
-mod authorizing;
-mod reading;
+mod authorization;
+mod request_reader;
 
-use authorizing::Authorization;
-use reading::AcceptedHead;
+use authorization::Authorization;
+use request_reader::AcceptedHead;
 
 /// Path at which callers request tickets: `POST /laurelstall/tickets?service=NAME&count=N`.
 pub const TICKETS_PATH: &str = "/laurelstall/tickets";
@@ -69,7 +69,7 @@
     /// Requests that are running at this host's own target.
     pub running: Arc<RunningRequests>,
     /// Limits on callers.
-    pub limits: Arc<CallerRules>,
+    pub limits: Arc<ActiveCallerLimits>,
     /// Time budgets that callers usually set, used to recognise retries.
     pub budgets: Mutex<TypicalBudgets>,
     /// Whether the node is stopping; responses over HTTP/1 then carry `connection: close`.
@@ -219,7 +219,7 @@
                 if status == StatusCode::UNAUTHORIZED {
                     headers.insert(http::header::WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
                 }
-                let failure = Failure { outcome, reason: &reason, retry_after_ms };
+                let failure = FailureInfo { outcome, reason: &reason, retry_after_ms };
                 dialect.mark_failure(headers, id, request_id, &failure);
                 response
             }
@@ -242,7 +242,7 @@
         let team = in_force.configuration.team_of_caller_host(&host);
         let team = team.ok_or_else(|| Rejection::new(StatusCode::NOT_FOUND, "no team has this host"))?;
         if parts.uri.path() == TICKETS_PATH {
-            return self.give_tickets(&in_force, team, &parts).await;
+            return self.issue_tickets(&in_force, team, &parts).await;
         }
         let route = match self.find_route(&in_force, team, &parts, &host)? {
             Plan::Route(route) => route,
@@ -283,7 +283,7 @@
             ));
         }
         let depth = self.context.dialect.depth(&parts.headers).map_err(bad_number)?;
-        if depth >= u64::from(self.limits.now().depth_max) {
+        if depth >= u64::from(self.limits.current().depth_max) {
             return Err(Rejection::new(StatusCode::LOOP_DETECTED, "calls too deep"));
         }
         Ok(depth)
@@ -380,7 +380,12 @@
     }
 
     /// Answers a request for tickets with those of one target of the service.
-    async fn give_tickets(&self, in_force: &InForce, team: &Team, parts: &Parts) -> Result<Reply, Rejection> {
+    async fn issue_tickets(
+        &self,
+        in_force: &InForce,
+        team: &Team,
+        parts: &Parts,
+    ) -> Result<Reply, Rejection> {
         if parts.method != Method::POST {
             return Err(Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "tickets are taken with POST"));
         }
--- a/crates/laurelstall_node/src/entry/reading.rs
+++ b/crates/laurelstall_node/src/entry/request_reader.rs
@@ -1,12 +1,12 @@
 //! Reads an HTTP request and builds the call to make.
 
-use super::{Entry, Rejection, authorizing::Caller, bad_number, read_ticket};
+use super::{Entry, Rejection, authorization::Caller, bad_number, read_ticket};
 use crate::{
     body::{Collected, collect, idle_body},
     call_request::CallRequest,
-    dialect::CallFacts,
+    dialect::CallInfo,
     headers::{host_of, read_number, strip_request, text_value},
-    running_requests::RunFacts,
+    running_requests::RunInfo,
 };
 use http::{StatusCode, request::Parts};
 use http_body_util::BodyExt;
@@ -98,13 +98,13 @@
             // The key is not passed on to targets.
             parts.headers.remove(http::header::AUTHORIZATION);
         }
-        let facts = CallFacts {
+        let info = CallInfo {
             call_id: id,
             depth: depth + 1,
             caller_service: &self.own_service,
             workspace: caller.named_by_key(),
         };
-        self.context.dialect.write_call(&mut parts.headers, &facts);
+        self.context.dialect.write_call(&mut parts.headers, &info);
         let workspace_importance = caller.workspace.as_ref().and_then(|workspace| workspace.importance);
         let importance = call_importance(workspace_importance, route.importance);
         let uri = parts.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
@@ -132,15 +132,15 @@
     }
 
     /// Returns the request running at this host's own target that makes this call; `None` when there is none.
-    pub(super) fn parent(&self, parts: &Parts) -> Option<RunFacts> {
+    pub(super) fn parent(&self, parts: &Parts) -> Option<RunInfo> {
         let parent = self.context.dialect.parent_request_id(&parts.headers)?;
-        self.running.facts(parent)
+        self.running.get(parent)
     }
 
     /// Returns the time budget in ms: the caller's, limited by the route's and the configured maximum.
     fn budget_ms(&self, parts: &Parts, route: &Route) -> Result<u64, Rejection> {
         let requested = self.context.dialect.budget_ms(&parts.headers).map_err(bad_number)?;
-        let limits = self.limits.now();
+        let limits = self.limits.current();
         let from_route = route.budget_ms.unwrap_or(limits.budget_default_ms);
         Ok(requested.unwrap_or(from_route).min(from_route).min(limits.budget_max_ms))
     }
@@ -170,7 +170,7 @@
         wait: BodyWait,
     ) -> Result<AttemptBody, Rejection> {
         let length = read_number(&parts.headers, &http::header::CONTENT_LENGTH).map_err(bad_number)?;
-        let limits = self.limits.now();
+        let limits = self.limits.current();
         let max_bytes = limits.body_bytes;
         if max_bytes > 0 && length.is_some_and(|length| length > max_bytes) {
             return Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
--- a/crates/laurelstall_node/src/listener.rs
+++ b/crates/laurelstall_node/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     body::whole,
-    caller_rules::CallerRules,
+    caller_limits::ActiveCallerLimits,
     counters::{Counters, count},
     entry::Entry,
     idle_stream::IdleStream,
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct HttpListener {
     responder: Arc<dyn Responder>,
-    limits: Arc<CallerRules>,
+    limits: Arc<ActiveCallerLimits>,
     counters: Arc<Counters>,
     stopping: watch::Receiver<bool>,
 }
@@ -66,7 +66,7 @@
     /// Passes requests to `responder` until `stopping` becomes true.
     pub fn new(
         responder: Arc<dyn Responder>,
-        limits: Arc<CallerRules>,
+        limits: Arc<ActiveCallerLimits>,
         counters: Arc<Counters>,
         stopping: watch::Receiver<bool>,
     ) -> Self {
@@ -77,7 +77,7 @@
     ///
     /// Dropping the future aborts all connections, as a crash would.
     pub async fn serve(mut self, listener: TcpListener) {
-        let permits = Arc::new(Semaphore::new(self.limits.now().connections));
+        let permits = Arc::new(Semaphore::new(self.limits.current().connections));
         let refusal_permits = Arc::new(Semaphore::new(REFUSED_CONNECTIONS_MAX));
         let mut connections = JoinSet::new();
         loop {
@@ -103,7 +103,7 @@
             };
             // Nagle's algorithm would delay small answers until the caller acknowledges earlier ones.
             let _ = stream.set_nodelay(true);
-            let idle = Duration::from_millis(self.limits.now().idle_timeout_ms);
+            let idle = Duration::from_millis(self.limits.current().idle_timeout_ms);
             let options = ConnectionOptions {
                 responder: self.responder.clone(),
                 limits: self.limits.clone(),
--- a/crates/laurelstall_node/src/pace_look.rs
+++ b/crates/laurelstall_node/src/load_query.rs
@@ -25,7 +25,7 @@
 
 /// Everything needed to query the target.
 #[derive(Debug, Clone, Copy)]
-pub struct PaceLook<'a> {
+pub struct LoadQuery<'a> {
     /// Settings of the target, with its address.
     pub settings: &'a TargetSettings,
     /// Client for the target.
@@ -36,7 +36,7 @@
 
 /// What a target reports about itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct LookReport {
+pub struct LoadReport {
     /// Whether the target answered at all.
     pub is_answered: bool,
     /// Name of the instance, if reported.
@@ -47,21 +47,21 @@
     pub cold_ms: Option<u64>,
 }
 
-impl PaceLook<'_> {
+impl LoadQuery<'_> {
     /// Queries the target at `path`; the report is empty if it does not answer in time.
     ///
     /// # Errors
     ///
     /// Returns a [`TargetError`] if no connection could be opened or it broke.
-    pub async fn report(self, path: &str) -> Result<LookReport, TargetError> {
+    pub async fn report(self, path: &str) -> Result<LoadReport, TargetError> {
         let report = timeout(QUERY_TIMEOUT, self.query(path)).await;
-        report.unwrap_or_else(|_| Ok(LookReport::default()))
+        report.unwrap_or_else(|_| Ok(LoadReport::default()))
     }
 
-    async fn query(self, path: &str) -> Result<LookReport, TargetError> {
+    async fn query(self, path: &str) -> Result<LoadReport, TargetError> {
         let Some(request) = self.request(path) else {
             log::warn!("cannot query the load of the target: load path '{path}' is not valid");
-            return Ok(LookReport::default());
+            return Ok(LoadReport::default());
         };
         let (response, connection) = self.client.send(request, true).await?;
         let (parts, body) = response.into_parts();
@@ -72,7 +72,7 @@
         }
         let instance = self.dialect.instance(&parts.headers).map(str::to_owned);
         let load = self.dialect.load(&parts.headers);
-        Ok(LookReport { is_answered: true, instance, load, cold_ms: self.dialect.cold_ms(&parts.headers) })
+        Ok(LoadReport { is_answered: true, instance, load, cold_ms: self.dialect.cold_ms(&parts.headers) })
     }
 
     fn request(self, path: &str) -> Option<Request<AnswerBody>> {
--- a/crates/laurelstall_node/src/node.rs
+++ b/crates/laurelstall_node/src/node.rs
@@ -5,10 +5,10 @@
     admin::Admin,
     background::{close_idle, follow_configuration, send_metrics, watch_suspension},
     call::CallContext,
-    caller_rules::CallerRules,
+    caller_limits::ActiveCallerLimits,
     counters::{Counters, MetricSender},
     decision_log::DecisionLog,
-    dialect::{HeaderDialect, OwnDialect},
+    dialect::{DefaultDialect, HeaderDialect},
     entry::Entry,
     listener::HttpListener,
     logging,
@@ -18,7 +18,7 @@
     platform_http::HttpPlatform,
     quotas::{QuotaOptions, Quotas},
     running_requests::RunningRequests,
-    services::{ChooserFactory, Own, Services},
+    services::{ChooserFactory, NodeLocation, Services},
     target_guard::{TargetGuard, TargetGuardOptions, drained},
 };
 use arc_swap::ArcSwap;
@@ -103,7 +103,7 @@
     /// Creates the chooser of targets for each service.
     pub chooser: ChooserFactory,
     /// Whether the guard queues without limit and never hands calls back, as behind a plain load balancer.
-    pub is_plain: bool,
+    pub is_baseline: bool,
     /// Seed of the random choices.
     pub seed: u64,
     /// Network link to other nodes.
@@ -124,11 +124,11 @@
             settings,
             listeners,
             chooser,
-            is_plain: false,
+            is_baseline: false,
             seed: rand::random(),
             link: Arc::new(OpenLink),
             platform: None,
-            dialect: Arc::new(OwnDialect),
+            dialect: Arc::new(DefaultDialect),
             clock: Clock::new(),
         }
     }
@@ -159,7 +159,7 @@
     pub guard: TargetGuard,
     /// The entry that accepts callers' requests.
     pub entry: Arc<Entry>,
-    caller_limits: Arc<CallerRules>,
+    caller_limits: Arc<ActiveCallerLimits>,
     admin: Arc<Admin>,
     platform: Arc<dyn PlatformSource>,
     settings: Settings,
@@ -199,7 +199,7 @@
                     let may_answer = self.observer.may_answer_probe();
                     PeerAnswer::Probed(may_answer.then(|| self.guard.hint().into()))
                 }
-                PeerRequest::Tickets(request) => self.guard.give_tickets(&request),
+                PeerRequest::Tickets(request) => self.guard.issue_tickets(&request),
                 PeerRequest::Exchange(exchange) => self.spread.answer_exchange(&exchange),
                 PeerRequest::Pull(items) => self.spread.answer_pull(&items),
                 PeerRequest::Offer(address, exchange, versions) => {
@@ -211,8 +211,8 @@
                     self.spread.crashes().take_news(&reports);
                     PeerAnswer::Noted
                 }
-                PeerRequest::TakeTokens(key, wanted) => self.quotas.answer_take(&key, wanted),
-                PeerRequest::ReturnTokens(key, tokens) => self.quotas.answer_return(&key, tokens),
+                PeerRequest::TakeTokens(key, wanted) => self.quotas.answer_take_tokens(&key, wanted),
+                PeerRequest::ReturnTokens(key, tokens) => self.quotas.answer_return_tokens(&key, tokens),
                 PeerRequest::CompareCrashes(reports) => self.spread.answer_crashes(&reports),
                 PeerRequest::CompareCarried(corrections) => self.spread.answer_carried(corrections.as_ref()),
                 PeerRequest::Attempt(_) => PeerAnswer::Refused(Refusal::new(RefusalReason::Unreadable)),
@@ -230,10 +230,10 @@
     ///
     /// Returns [`NodeError`] when a socket cannot be used.
     pub async fn start(options: NodeOptions) -> Result<Self, NodeError> {
-        let NodeOptions { settings, listeners, chooser, is_plain, seed, link, platform, dialect, clock } =
+        let NodeOptions { settings, listeners, chooser, is_baseline, seed, link, platform, dialect, clock } =
             options;
         let counters = Arc::new(Counters::default());
-        let caller_limits = CallerRules::new(settings.callers);
+        let caller_limits = ActiveCallerLimits::new(settings.callers);
         let latencies = Arc::new(Latencies::default());
         let meter = Arc::new(Meter::default());
         let active = Active::new();
@@ -267,7 +267,7 @@
             clock,
             host: host.clone(),
             settings: settings.target.clone(),
-            is_plain,
+            is_baseline,
             incarnation: rand::random(),
             active: active.clone(),
             observer: observer.clone(),
@@ -287,7 +287,7 @@
             active: active.clone(),
             counters: counters.clone(),
         });
-        let location = Own { host: host.clone(), data_centre: data_centre.clone() };
+        let location = NodeLocation { host: host.clone(), data_centre: data_centre.clone() };
         let services = Arc::new(Services::new(location, clock, chooser, seed));
         let log = &settings.log;
         let entry = Arc::new(Entry {
@@ -343,9 +343,9 @@
         background.spawn(async move { probe_observer.probe_loop(&services, &probe_client).await });
         background.spawn(close_idle(client));
         background.spawn(watch_suspension(clock, spread.clone()));
-        background.spawn(async move { quotas.watch_touch().await });
+        background.spawn(async move { quotas.monitor_connectivity().await });
         let watched = guard.clone();
-        background.spawn(async move { watched.watch_pace().await });
+        background.spawn(async move { watched.run_load_queries().await });
         let sender = MetricSender::new(log.statsd_address, &host);
         let interval = Duration::from_millis(log.metrics_interval_ms);
         background.spawn(send_metrics(
@@ -377,7 +377,7 @@
         );
         let operators = HttpListener::new(
             admin.clone(),
-            CallerRules::new(settings.callers),
+            ActiveCallerLimits::new(settings.callers),
             counters.clone(),
             shutdown_receiver,
         );
@@ -444,7 +444,7 @@
         let linger = Duration::from_millis(self.settings.node.stop_linger_ms);
         let stopped = timeout(limit, async {
             sleep(linger).await;
-            self.guard.set_stopping();
+            self.guard.start_final_drain();
             self.shutdown.send_replace(true);
             for task in &mut self.listener_tasks {
                 // A task that panicked needs no waiting.
--- a/crates/laurelstall_node/src/ordered_connection.rs
+++ b/crates/laurelstall_node/src/ordered_connection.rs
@@ -6,7 +6,7 @@
 //! of the connection one request at a time after all earlier requests are answered.
 
 use crate::{
-    caller_rules::CallerRules,
+    caller_limits::ActiveCallerLimits,
     idle_stream::IdleStream,
     listener::{Responder, builder},
     request_head::{RequestHead, read_head},
@@ -47,7 +47,7 @@
     /// Answers the requests.
     pub responder: Arc<dyn Responder>,
     /// Limits on callers.
-    pub limits: Arc<CallerRules>,
+    pub limits: Arc<ActiveCallerLimits>,
     /// Becomes true when the node stops and no new requests are to be read.
     pub stopping: watch::Receiver<bool>,
 }
@@ -180,7 +180,7 @@
     let mut buffer = BytesMut::new();
     loop {
         while running.try_join_next().is_some() {}
-        let limits = options.limits.now();
+        let limits = options.limits.current();
         let head_timeout = Duration::from_millis(limits.head_timeout_ms);
         let read = tokio::select! {
             biased;
@@ -302,7 +302,7 @@
         }
     });
     let io = TokioIo::new(join(Cursor::new(bytes).chain(input), output));
-    let builder = builder(&limits.now());
+    let builder = builder(&limits.current());
     let mut connection = pin!(builder.serve_connection(io, service));
     let served = tokio::select! {
         served = connection.as_mut() => Some(served),
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -221,12 +221,12 @@
     }
 
     /// Answers another node's request for tokens.
-    pub fn answer_take(&self, key: &ShareKey, wanted: u32) -> PeerAnswer {
+    pub fn answer_take_tokens(&self, key: &ShareKey, wanted: u32) -> PeerAnswer {
         PeerAnswer::Tokens(self.grant(key, wanted))
     }
 
     /// Accepts tokens returned by another node.
-    pub fn answer_return(&self, key: &ShareKey, tokens: u32) -> PeerAnswer {
+    pub fn answer_return_tokens(&self, key: &ShareKey, tokens: u32) -> PeerAnswer {
         self.owned().give_back(key, tokens, self.options.clock.now_us());
         PeerAnswer::Noted
     }
@@ -249,7 +249,7 @@
     }
 
     /// Checks, while the platform data is outdated, that this node can reach other nodes; runs until dropped.
-    pub async fn watch_touch(&self) {
+    pub async fn monitor_connectivity(&self) {
         loop {
             sleep(CONNECTIVITY_INTERVAL).await;
             let owns_any = self.owned().levels(0).next().is_some();
--- a/crates/laurelstall_node/src/running_requests.rs
+++ b/crates/laurelstall_node/src/running_requests.rs
@@ -17,12 +17,12 @@
     /// Number of concurrent runs; more than one if the request was repeated.
     count: u32,
     /// Properties of the latest run.
-    facts: RunFacts,
+    info: RunInfo,
 }
 
 /// Properties of a run that apply to its nested calls.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RunFacts {
+pub struct RunInfo {
     /// When the latency objective expires, in µs of the node's clock.
     pub useful_until_us: u64,
     /// Importance of the request.
@@ -37,19 +37,19 @@
 
 impl RunningRequests {
     /// Registers a running request until the result is dropped; `None` if the request has no ID.
-    pub fn enter(self: &Arc<Self>, request_id: Option<&str>, facts: RunFacts) -> Option<RunningRequest> {
+    pub fn register(self: &Arc<Self>, request_id: Option<&str>, info: RunInfo) -> Option<RunningRequest> {
         let request_id = request_id?.to_owned();
         let mut runs = self.lock();
         let entry = runs.entry(request_id.clone()).or_default();
         entry.count += 1;
-        entry.facts = facts;
+        entry.info = info;
         drop(runs);
         Some(RunningRequest { requests: self.clone(), request_id })
     }
 
     /// Returns the properties of the request with this ID, if it is running.
-    pub fn facts(&self, request_id: &str) -> Option<RunFacts> {
-        self.lock().get(request_id).map(|runs| runs.facts.clone())
+    pub fn get(&self, request_id: &str) -> Option<RunInfo> {
+        self.lock().get(request_id).map(|runs| runs.info.clone())
     }
 
     fn unregister(&self, request_id: &str) {
--- a/crates/laurelstall_node/src/services.rs
+++ b/crates/laurelstall_node/src/services.rs
@@ -58,7 +58,7 @@
     }
 
     /// Updates targets and addresses from the configuration in force.
-    fn update(&self, in_force: &InForce, service: &Service, location: &Own, now_us: u64) {
+    fn update(&self, in_force: &InForce, service: &Service, location: &NodeLocation, now_us: u64) {
         let configuration = &in_force.configuration;
         let views = service.targets.iter().map(|target| {
             let round_trip_us = round_trip_us(configuration, location, &target.host);
@@ -88,7 +88,7 @@
 
 /// Host and data centre of this entry.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct NodeLocation {
     /// Name of the host.
     pub host: String,
     /// Name of the data centre.
@@ -96,7 +96,7 @@
 }
 
 /// Returns the expected network round trip to a host in µs.
-fn round_trip_us(configuration: &Configuration, location: &Own, host: &str) -> u64 {
+fn round_trip_us(configuration: &Configuration, location: &NodeLocation, host: &str) -> u64 {
     if host == location.host {
         return 0;
     }
@@ -109,7 +109,7 @@
 
 /// All services called through this entry.
 pub struct Services {
-    location: Own,
+    location: NodeLocation,
     clock: Clock,
     chooser: ChooserFactory,
     seed: u64,
@@ -118,7 +118,7 @@
 
 impl Services {
     /// Creates an empty set of services; each service gets its own chooser.
-    pub fn new(location: Own, clock: Clock, chooser: ChooserFactory, seed: u64) -> Self {
+    pub fn new(location: NodeLocation, clock: Clock, chooser: ChooserFactory, seed: u64) -> Self {
         Self { location, clock, chooser, seed, states: Mutex::default() }
     }
 
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -42,14 +42,14 @@
     time::{Duration, timeout},
 };
 
-mod answers;
-mod ends;
+mod crash_detection;
+mod forwarding;
 mod instance;
-mod listing;
-mod sending;
+mod listed_target;
+mod responses;
 
-use ends::{CrashCheck, WatchedRun};
-use listing::ListedTarget;
+use crash_detection::{CrashCheck, WatchedRun};
+use listed_target::ListedTarget;
 
 /// Queue length in baseline runs, which compare with a conventional load balancer and without a guard.
 const BASELINE_QUEUE_LENGTH: usize = 100_000;
@@ -72,7 +72,7 @@
     pub(crate) clock: Clock,
     host: String,
     settings: Option<TargetSettings>,
-    is_plain: bool,
+    is_baseline: bool,
     incarnation: u64,
     guard: Arc<Guard>,
     ledger: Mutex<Ledger>,
@@ -114,7 +114,7 @@
     pub settings: Option<TargetSettings>,
     /// Whether this is a baseline run that imitates a conventional load balancer: the queue is nearly unlimited and queued
     /// calls are never handed back to their entry.
-    pub is_plain: bool,
+    pub is_baseline: bool,
     /// Random number that identifies this start of the guard.
     pub incarnation: u64,
     /// The configuration in force.
@@ -153,7 +153,7 @@
             clock: options.clock,
             host: options.host,
             settings: options.settings,
-            is_plain: options.is_plain,
+            is_baseline: options.is_baseline,
             incarnation: options.incarnation,
             guard: Guard::new(limits, options.clock),
             ledger: Mutex::new(Ledger::new(options.incarnation, 0)),
@@ -183,9 +183,9 @@
         self.note_own_target(own.map(|(_, target)| target.name.as_str()), &in_force);
         let Some((service, target)) = own else { return };
         let limits = &service.limits;
-        self.inner.guard.set_can_query(!service.load_path.is_empty() && !self.inner.is_plain);
+        self.inner.guard.set_can_query(!service.load_path.is_empty() && !self.inner.is_baseline);
         self.inner.ledger().set_tickets_max(limits.tickets_max);
-        self.inner.guard.set_limits(if self.inner.is_plain {
+        self.inner.guard.set_limits(if self.inner.is_baseline {
             GuardLimits {
                 slots: target.slots,
                 slots_start_percent: 100,
@@ -222,17 +222,17 @@
     }
 
     /// Starts the final drain before the node stops.
-    pub fn set_stopping(&self) {
+    pub fn start_final_drain(&self) {
         self.inner.drains.stopping.store(true, Ordering::Relaxed);
         self.apply_drains();
     }
 
     /// Queries the load of the target whenever the guard needs a newer value; runs until dropped.
-    pub async fn watch_pace(&self) {
+    pub async fn run_load_queries(&self) {
         let inner = &self.inner;
         loop {
             inner.guard.report_needed().await;
-            inner.look_at_pace().await;
+            inner.query_load().await;
         }
     }
 
@@ -257,7 +257,7 @@
     }
 
     /// Issues tickets for this host's own target.
-    pub fn give_tickets(&self, request: &TicketsRequest) -> PeerAnswer {
+    pub fn issue_tickets(&self, request: &TicketsRequest) -> PeerAnswer {
         let in_force = self.inner.active.load();
         let own = self.inner.own_target(&in_force);
         let Some((service, _)) = own.filter(|(_, target)| {
@@ -425,9 +425,9 @@
             deadline_us: run.deadline_us,
             useful_until_us: run.useful_until_us,
             useful_us: run.useful_us,
-            may_hand_back: run.head.may_hand_back && !self.is_plain,
+            may_hand_back: run.head.may_hand_back && !self.is_baseline,
             hand_backs: run.head.hand_backs,
-            slow_from_percent: run.head.slow_from_percent.filter(|_| !self.is_plain),
+            slow_from_percent: run.head.slow_from_percent.filter(|_| !self.is_baseline),
         };
         let queued_us = self.clock.now_us();
         match self.guard.admit(ask).await {
--- a/crates/laurelstall_node/src/target_guard/sending.rs
+++ b/crates/laurelstall_node/src/target_guard/forwarding.rs
@@ -4,8 +4,8 @@
 use crate::{
     body::{Collected, collect},
     counters::count,
-    dialect::AttemptFacts,
-    running_requests::RunFacts,
+    dialect::AttemptInfo,
+    running_requests::RunInfo,
     target_http::{TargetError, target_request},
 };
 use bytes::Bytes;
@@ -36,7 +36,7 @@
     digest: RequestDigest,
     may_repeat: bool,
     deadline_us: u64,
-    facts: RunFacts,
+    run_info: RunInfo,
     limits: ServiceLimits,
     permit: Permit,
 }
@@ -66,7 +66,7 @@
             permit.release_uncounted();
             return refused(RefusalReason::Unreadable, None);
         };
-        self.dialect.write_attempt(&mut headers, &AttemptFacts { budget_ms, target: &target });
+        self.dialect.write_attempt(&mut headers, &AttemptInfo { budget_ms, target: &target });
         admission.grant();
         let body = match body {
             AttemptBody::Stream(body) if head.body == BodyKind::OnGo => match receive_body(body).await {
@@ -88,7 +88,7 @@
             permit.release_uncounted();
             return refused(RefusalReason::Unreadable, None);
         };
-        let facts = RunFacts {
+        let run_info = RunInfo {
             useful_until_us,
             importance: head.importance,
             is_repeat: head.is_repeat,
@@ -102,7 +102,7 @@
             digest: head.digest,
             may_repeat: head.may_repeat,
             deadline_us,
-            facts,
+            run_info,
             limits,
             permit,
         };
@@ -129,7 +129,7 @@
             digest,
             may_repeat,
             deadline_us,
-            facts,
+            run_info,
             limits,
             mut permit,
         } = prepared;
@@ -137,7 +137,7 @@
             permit.release_uncounted();
             return refused(RefusalReason::OtherTarget, None);
         };
-        let _running = self.running.enter(self.dialect.request_id(&headers), facts);
+        let _running = self.running.register(self.dialect.request_id(&headers), run_info);
         let deadline = self.clock.instant_of(deadline_us);
         let run = self.watch_run(digest);
         if let Some(draining_us) = self.guard.draining_for_us() {
--- a/crates/laurelstall_node/src/target_guard/instance.rs
+++ b/crates/laurelstall_node/src/target_guard/instance.rs
@@ -3,7 +3,7 @@
 use super::Inner;
 use crate::{
     counters::count,
-    pace_look::{LookReport, PaceLook},
+    load_query::{LoadQuery, LoadReport},
     target_http::TargetError,
 };
 use laurelstall_guard::{
@@ -56,7 +56,7 @@
     }
 
     /// Queries the target once for its load.
-    pub(super) async fn look_at_pace(&self) {
+    pub(super) async fn query_load(&self) {
         count(&self.counters.pace_looks);
         if self.query().await.is_err() {
             self.guard.note_query_result(None);
@@ -67,7 +67,7 @@
     async fn query(&self) -> Result<(), TargetError> {
         let started_us = self.clock.now_us();
         let report = match self.report().await {
-            Err(TargetError::Broken) => LookReport::default(),
+            Err(TargetError::Broken) => LoadReport::default(),
             report => report?,
         };
         self.guard.note_query_result(report.load.map(|load| load.slowness_percent));
@@ -84,13 +84,13 @@
     }
 
     /// Requests a report from the target at the load path of its service.
-    pub(super) async fn report(&self) -> Result<LookReport, TargetError> {
+    pub(super) async fn report(&self) -> Result<LoadReport, TargetError> {
         let (Some(settings), Some(client)) = (&self.settings, &self.client) else {
             return Err(TargetError::NoConnection);
         };
         let in_force = self.active.load();
         let path = self.own_target(&in_force).map_or("", |(service, _)| &service.load_path);
-        let query = PaceLook { settings, client, dialect: &*self.dialect };
+        let query = LoadQuery { settings, client, dialect: &*self.dialect };
         query.report(path).await
     }
 
--- a/crates/laurelstall_node/src/target_guard/answers.rs
+++ b/crates/laurelstall_node/src/target_guard/responses.rs
@@ -1,6 +1,6 @@
 //! Converts the target's response into the answer for the entry.
 
-use super::{Inner, ReceivedResponse, connection_lost, ends::WatchedRun, refused, unknown};
+use super::{Inner, ReceivedResponse, connection_lost, crash_detection::WatchedRun, refused, unknown};
 use crate::{
     body::{Collected, WatchedBody, collect, whole},
     counters::count,
@@ -46,7 +46,7 @@
             }
             AnswerKind::Shed => Some(RefusalReason::Shed),
             AnswerKind::OtherTarget => Some(RefusalReason::Replaced),
-            AnswerKind::Foreign => {
+            AnswerKind::WrongRequest => {
                 permit.release_uncounted();
                 run.forget();
                 return unknown("the target answered another request");
--- a/crates/laurelstall_standin/src/experiment.rs
+++ b/crates/laurelstall_standin/src/experiment.rs
@@ -335,7 +335,7 @@
     plan.observe.bytes_per_s = plan.observe.bytes_per_s * tuning.observe_percent / 100;
     plan.observe.probes_per_s = plan.observe.probes_per_s * tuning.observe_percent / 100;
     plan.chooser = balancer.maker();
-    plan.is_plain = balancer != Balancer::Laurelstall;
+    plan.is_baseline = balancer != Balancer::Laurelstall;
     plan.decisions = if tuning.has_decision_log { DecisionFormat::Human } else { DecisionFormat::Off };
     plan.seed = seed;
     Ok(plan)
--- a/crates/laurelstall_standin/src/harness.rs
+++ b/crates/laurelstall_standin/src/harness.rs
@@ -323,7 +323,7 @@
         let listeners = Listeners { entry: sockets.entry.0, peer: sockets.peer.0, admin: sockets.admin.0 };
         let mut options = NodeOptions::new(settings, listeners);
         options.seed = self.plan.seed.wrapping_mul(7_919) + index as u64;
-        options.is_plain = self.plan.is_plain;
+        options.is_baseline = self.plan.is_baseline;
         options.link = Arc::new(HostLink { data_centre: host.data_centre.clone(), cuts: self.cuts.clone() });
         let flag = self.cuts.platform_flag(&host.data_centre);
         options.platform = Some(Arc::new(PlatformWay::new(self.platform.clone(), flag, WATCH_WAIT_MS)));
--- a/crates/laurelstall_standin/src/harness_plan.rs
+++ b/crates/laurelstall_standin/src/harness_plan.rs
@@ -46,7 +46,7 @@
     /// Way to choose, given the true loads; the product's own when absent.
     pub chooser: Option<ChooserMaker>,
     /// Whether guards act as behind a plain balancer.
-    pub is_plain: bool,
+    pub is_baseline: bool,
     /// Seed of all random choices.
     pub seed: u64,
 }
@@ -95,7 +95,7 @@
             decisions: DecisionFormat::Human,
             tokens: Vec::new(),
             chooser: None,
-            is_plain: false,
+            is_baseline: false,
             seed: 1,
         })
     }
