--- a/crates/laurelstall_cli/src/bin/laurelstall-check.rs
+++ b/crates/laurelstall_cli/src/bin/laurelstall-check.rs
@@ -2,7 +2,7 @@
 
 use gumdrop::Options;
 use http::{HeaderMap, HeaderName, HeaderValue};
-use laurelstall_cli::{FAILED, FINE, WRONG_USE, check};
+use laurelstall_cli::{EXIT_FAILURE, EXIT_SUCCESS, EXIT_USAGE, check};
 use laurelstall_config::team::Team;
 use std::process::ExitCode;
 
@@ -24,13 +24,13 @@
     let arguments = Arguments::parse_args_default_or_exit();
     if arguments.version {
         println!("laurelstall-check {}", env!("CARGO_PKG_VERSION"));
-        return ExitCode::from(FINE);
+        return ExitCode::from(EXIT_SUCCESS);
     }
     if arguments.files.is_empty() {
         eprintln!("laurelstall-check: FILE... is required; see --help");
-        return ExitCode::from(WRONG_USE);
+        return ExitCode::from(EXIT_USAGE);
     }
-    let mut code = FINE;
+    let mut code = EXIT_SUCCESS;
     for file in &arguments.files {
         code = code.max(check_file(file, &arguments));
     }
@@ -42,7 +42,7 @@
         Ok(text) => text,
         Err(error) => {
             eprintln!("{file}: {error}");
-            return WRONG_USE;
+            return EXIT_USAGE;
         }
     };
     let problems = check::check_text(file, &text);
@@ -50,22 +50,22 @@
         eprintln!("{problem}");
     }
     if !problems.is_empty() {
-        return WRONG_USE;
+        return EXIT_USAGE;
     }
     println!("{file}: right");
     match &arguments.request {
         Some(description) => run_program(file, &text, description, &arguments.header),
-        None => FINE,
+        None => EXIT_SUCCESS,
     }
 }
 
 fn run_program(file: &str, text: &str, description: &str, headers: &[String]) -> u8 {
-    let Ok(team) = Team::from_text(file, text) else { return FINE };
+    let Ok(team) = Team::from_text(file, text) else { return EXIT_SUCCESS };
     let headers = match read_headers(headers) {
         Ok(headers) => headers,
         Err(message) => {
             eprintln!("laurelstall-check: {message}");
-            return WRONG_USE;
+            return EXIT_USAGE;
         }
     };
     if let Ok(Some(explanation)) = check::explain_route(&team, description) {
@@ -74,11 +74,11 @@
     match check::decide(&team, description, &headers) {
         Ok(plan) => {
             println!("{description}: {plan:?}");
-            FINE
+            EXIT_SUCCESS
         }
         Err(message) => {
             eprintln!("{file}: program: {message}");
-            FAILED
+            EXIT_FAILURE
         }
     }
 }
--- a/crates/laurelstall_cli/src/bin/laurelstall-ctl.rs
+++ b/crates/laurelstall_cli/src/bin/laurelstall-ctl.rs
@@ -3,7 +3,7 @@
 use gumdrop::Options;
 use http::Method;
 use laurelstall_cli::{
-    FAILED, FINE, WRONG_USE,
+    EXIT_FAILURE, EXIT_SUCCESS, EXIT_USAGE,
     admin_client::{AdminRequest, send_request},
     check, table,
 };
@@ -106,13 +106,13 @@
     let arguments = Arguments::parse_args_default_or_exit();
     if arguments.version {
         println!("laurelstall-ctl {}", env!("CARGO_PKG_VERSION"));
-        return ExitCode::from(FINE);
+        return ExitCode::from(EXIT_SUCCESS);
     }
     let admin_request = match admin_request(&arguments) {
         Ok(admin_request) => admin_request,
         Err(message) => {
             eprintln!("laurelstall-ctl: {message}");
-            return ExitCode::from(WRONG_USE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -123,11 +123,11 @@
     match exchange {
         Ok((status, text)) => {
             print_answer(&text, arguments.json);
-            ExitCode::from(if status.is_success() { FINE } else { FAILED })
+            ExitCode::from(if status.is_success() { EXIT_SUCCESS } else { EXIT_FAILURE })
         }
         Err(message) => {
             eprintln!("laurelstall-ctl: {}: {message}", admin_request.node);
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/laurelstall_cli/src/check.rs
+++ b/crates/laurelstall_cli/src/check.rs
@@ -8,7 +8,7 @@
     settings::Settings,
     team::Team,
 };
-use laurelstall_node::{active::check_document, entry::route_of};
+use laurelstall_node::{active_config::check_document, entry::route_of};
 use laurelstall_policy::{
     plan::Plan,
     program::{Program, RequestView},
--- a/crates/laurelstall_cli/src/lib.rs
+++ b/crates/laurelstall_cli/src/lib.rs
@@ -5,8 +5,8 @@
 pub mod table;
 
 /// Exit code for success.
-pub const FINE: u8 = 0;
+pub const EXIT_SUCCESS: u8 = 0;
 /// Exit code for a failed operation.
-pub const FAILED: u8 = 1;
+pub const EXIT_FAILURE: u8 = 1;
 /// Exit code for wrong usage or invalid settings.
-pub const WRONG_USE: u8 = 2;
+pub const EXIT_USAGE: u8 = 2;
--- a/crates/laurelstall_node/src/active.rs
+++ b/crates/laurelstall_node/src/active_config.rs
@@ -1,6 +1,6 @@
 //! The current configuration with its compiled programs, swapped atomically as one value.
 
-use crate::metrics::{latency_histogram, observe_us};
+use crate::metrics::{latency_histogram, record_us};
 use arc_swap::ArcSwap;
 use laurelstall_config::{
     configuration::{Checked, Configuration},
@@ -34,7 +34,7 @@
 
 /// An immutable snapshot of the configuration that a node uses.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct ConfigSnapshot {
     /// The checked documents.
     pub configuration: Configuration,
     /// The compiled program of each team.
@@ -50,8 +50,8 @@
 
 /// Holds the current configuration and applies new documents to it.
 #[derive(Debug)]
-pub struct Active {
-    in_force: ArcSwap<InForce>,
+pub struct ActiveConfig {
+    snapshot: ArcSwap<ConfigSnapshot>,
     /// Held while the next snapshot is built, so that concurrent updates do not overwrite each other.
     update_lock: Mutex<()>,
     changed: watch::Sender<u64>,
@@ -61,34 +61,34 @@
     /// The host list as published, with the corrections that hold after the platform was restored from an older copy.
     corrector: Mutex<RecentFleet>,
     /// Number of restores of the platform from an older copy, as seen from its host lists.
-    pub returns: AtomicU64,
+    pub restores: AtomicU64,
     /// Delay from the first read of a version from the platform to its taking effect at this node.
-    pub delays: Histogram,
+    pub version_delays: Histogram,
 }
 
-impl Active {
+impl ActiveConfig {
     /// Starts with an empty configuration.
     pub fn new() -> Arc<Self> {
         let (changed, _) = watch::channel(0);
         Arc::new(Self {
-            in_force: ArcSwap::default(),
+            snapshot: ArcSwap::default(),
             update_lock: Mutex::default(),
             changed,
             retain_until: Mutex::default(),
             corrector: Mutex::default(),
-            returns: AtomicU64::new(0),
-            delays: latency_histogram(),
+            restores: AtomicU64::new(0),
+            version_delays: latency_histogram(),
         })
     }
 
     /// Returns the current snapshot. A request uses the same snapshot from start to end.
-    pub fn load(&self) -> Arc<InForce> {
-        self.in_force.load_full()
+    pub fn load(&self) -> Arc<ConfigSnapshot> {
+        self.snapshot.load_full()
     }
 
     /// Waits until the next retained target or correction of the host list expires, and applies the change. Waits forever
     /// when nothing is due to expire.
-    pub async fn follow_time(&self) {
+    pub async fn apply_next_expiry(&self) {
         let retention_end = *self.retain_until();
         let corrections_end = self.corrector().next_change(Instant::now());
         let Some(next) = retention_end.into_iter().chain(corrections_end).min() else {
@@ -101,7 +101,7 @@
     /// Applies the host list that holds now, if it differs from the current one.
     fn refresh_fleet(&self) {
         let _guard = self.update_lock();
-        let old = self.in_force.load_full();
+        let old = self.snapshot.load_full();
         let before = &old.configuration.fleet;
         let listed = self.corrector().fleet(Instant::now());
         let fleet = self.retain_missing(listed, before);
@@ -115,7 +115,7 @@
         let version = old.configuration.version(&DocumentName::Fleet);
         let checked = Checked::Fleet(fleet);
         let configuration = old.configuration.with_document(&DocumentName::Fleet, version, checked);
-        self.publish(InForce {
+        self.publish(ConfigSnapshot {
             configuration,
             programs: old.programs.clone(),
             keys: old.keys.clone(),
@@ -123,9 +123,9 @@
         });
     }
 
-    fn publish(&self, in_force: InForce) {
-        let generation = in_force.generation;
-        self.in_force.store(Arc::new(in_force));
+    fn publish(&self, snapshot: ConfigSnapshot) {
+        let generation = snapshot.generation;
+        self.snapshot.store(Arc::new(snapshot));
         self.changed.send_replace(generation);
     }
 
@@ -139,7 +139,7 @@
         let corrections = is_restored.then(|| corrector.carried_numbers());
         drop(corrector);
         if let Some(corrections) = corrections {
-            self.returns.fetch_add(1, Ordering::Relaxed);
+            self.restores.fetch_add(1, Ordering::Relaxed);
             log::warn!("the platform was restored from an older copy, era {era}: {corrections}");
         }
         self.retain_missing(corrected, before)
@@ -223,11 +223,11 @@
     unreachable!("a problem was pushed")
 }
 
-impl Acceptor for Active {
+impl Acceptor for ActiveConfig {
     fn accept(&self, document: &Document) -> Result<(), ConfigError> {
         let (checked, program) = check_document(document)?;
         let _guard = self.update_lock();
-        let old = self.in_force.load_full();
+        let old = self.snapshot.load_full();
         let checked = match checked {
             Checked::Fleet(listed) => {
                 let before = &old.configuration.fleet;
@@ -247,7 +247,7 @@
         for (host, owner, claimant) in configuration.caller_host_conflicts() {
             log::error!("caller host '{host}' is claimed by team {claimant} but belongs to team {owner}");
         }
-        self.publish(InForce { configuration, programs, keys, generation: old.generation + 1 });
+        self.publish(ConfigSnapshot { configuration, programs, keys, generation: old.generation + 1 });
         Ok(())
     }
 
@@ -267,12 +267,12 @@
             );
         }
         self.refresh_fleet();
-        // Wakes the task that waits in `follow_time`, since its deadline has changed.
-        self.changed.send_replace(self.in_force.load().generation);
+        // Wakes the task that waits in `apply_next_expiry`, since its deadline has changed.
+        self.changed.send_replace(self.snapshot.load().generation);
     }
 
     fn note_delay(&self, delay_us: u64) {
-        observe_us(&self.delays, delay_us);
+        record_us(&self.version_delays, delay_us);
     }
 
     fn expect_lapsed(&self, outage_end_age_ms: u64) {
@@ -285,17 +285,17 @@
         }
         *retain_until = Some(Instant::now() + remaining);
         drop(retain_until);
-        // Wakes the task that waits in `follow_time`, since its deadline has changed.
-        self.changed.send_replace(self.in_force.load().generation);
+        // Wakes the task that waits in `apply_next_expiry`, since its deadline has changed.
+        self.changed.send_replace(self.snapshot.load().generation);
     }
 }
 
-impl SpreadView for Active {
+impl SpreadView for ActiveConfig {
     fn fleet(&self) -> Arc<Fleet> {
-        self.in_force.load().configuration.fleet.clone()
+        self.snapshot.load().configuration.fleet.clone()
     }
 
     fn spread(&self) -> SpreadLimits {
-        self.in_force.load().configuration.system.spread
+        self.snapshot.load().configuration.system.spread
     }
 }
--- a/crates/laurelstall_node/src/admin.rs
+++ b/crates/laurelstall_node/src/admin.rs
@@ -1,9 +1,9 @@
 //! The administration API of a node: reports its state and changes a few settings of the running node.
 
 use crate::{
-    active::{Active, check_document},
+    active_config::{ActiveConfig, check_document},
     background::gauges,
-    body::{Collected, collect, whole},
+    body::{Collected, collect, full_body},
     counters::Counters,
     decision_log::Decision,
     entry::{Entry, json},
@@ -53,7 +53,7 @@
     /// The guard of the local target.
     pub guard: TargetGuard,
     /// The current configuration.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// Replicates the configuration between nodes.
     pub spread: Arc<Spread>,
     /// Counters of the node.
@@ -246,9 +246,13 @@
     fn metrics(&self) -> Answer {
         let meter = self.entry.context.client.pool().meter();
         let gauges = gauges(&self.guard, meter, &self.active);
-        let text =
-            metrics::text(self.counters.clone(), &self.entry.context.latencies, &self.active.delays, gauges);
-        let mut response = Response::new(whole(text.into()));
+        let text = metrics::encode_metrics(
+            self.counters.clone(),
+            &self.entry.context.latencies,
+            &self.active.version_delays,
+            gauges,
+        );
+        let mut response = Response::new(full_body(text.into()));
         let content_type = HeaderValue::from_static(METRICS_CONTENT_TYPE);
         response.headers_mut().insert(CONTENT_TYPE, content_type);
         response
@@ -264,7 +268,7 @@
 
     fn status(&self) -> Value {
         let load = self.guard.guard().load();
-        let observed = self.entry.context.observer.spent();
+        let observed = self.entry.context.observer.usage();
         let meter = self.entry.context.client.pool().meter();
         let counters = self.counters.all().into_iter().map(|(name, count)| (name.to_owned(), count.into()));
         value!({
@@ -317,7 +321,7 @@
     }
 
     fn members(&self) -> Value {
-        let in_force = self.active.load();
+        let snapshot = self.active.load();
         let now_us = self.entry.context.clock.now_us();
         let partners = self.spread.partner_states().into_iter().map(|(address, state)| {
             value!({
@@ -327,7 +331,7 @@
                 "age_ms": now_us.saturating_sub(state.at_us) / 1_000,
             })
         });
-        let fleet = &in_force.configuration.fleet;
+        let fleet = &snapshot.configuration.fleet;
         let hosts = fleet.hosts.iter().take(ROWS_MAX);
         value!({
             "partners": partners.collect::<Vec<_>>(),
@@ -337,14 +341,14 @@
     }
 
     fn config(&self) -> Value {
-        let in_force = self.active.load();
-        let versions = in_force.configuration.versions.iter();
+        let snapshot = self.active.load();
+        let versions = snapshot.configuration.versions.iter();
         let versions = versions.map(|(name, version)| (name.to_string(), version.to_string().into()));
         // Called before `store` is locked, because it locks the store itself.
         let platform_era = self.spread.platform_era();
         let store = self.spread.store();
         let refused = store.refused().map(|(name, version)| (name.to_string(), version.to_string().into()));
-        let conflicts = in_force.configuration.caller_host_conflicts();
+        let conflicts = snapshot.configuration.caller_host_conflicts();
         value!({
             "versions": serde_json::Map::from_iter(versions),
             "refused": serde_json::Map::from_iter(refused),
@@ -353,7 +357,7 @@
             "is_reader": self.spread.is_reader(),
             "platform_read_age_ms": self.spread.platform_read_age_ms(),
             "platform_era": platform_era,
-            "platform_returns": self.active.returns.load(Ordering::Relaxed),
+            "platform_returns": self.active.restores.load(Ordering::Relaxed),
         })
     }
 
@@ -364,14 +368,14 @@
 
     /// Lists workspaces, those with the most refused calls first.
     fn workspaces(&self, client: &Client) -> Vec<WorkspaceRow> {
-        let in_force = self.active.load();
+        let snapshot = self.active.load();
         let counts = self.entry.quotas.counts();
         let mut owned: HashMap<String, Vec<f64>> = HashMap::new();
         for (key, level) in self.entry.quotas.levels() {
             owned.entry(key.workspace).or_default().push(level.floor());
         }
         let mut rows = Vec::new();
-        for (team, directory) in &in_force.keys {
+        for (team, directory) in &snapshot.keys {
             for workspace in directory.workspaces() {
                 let name = format!("{team}/{}", workspace.name);
                 if !client.may_see(&name) {
@@ -418,8 +422,8 @@
     }
 
     fn drain(&self, client: &Client, is_draining: bool) -> Answer {
-        let in_force = self.active.load();
-        let local_service = in_force
+        let snapshot = self.active.load();
+        let local_service = snapshot
             .configuration
             .services()
             .find(|(_, service)| service.targets.iter().any(|t| t.host == self.host));
@@ -461,7 +465,7 @@
 
 async fn read_json<T: for<'de> Deserialize<'de>>(body: AnswerBody) -> Result<T, Answer> {
     match collect(body, BODY_BYTES_MAX, BODY_TIMEOUT).await {
-        Ok(Collected::Whole(bytes)) => serde_json::from_slice(&bytes)
+        Ok(Collected::Complete(bytes)) => serde_json::from_slice(&bytes)
             .map_err(|error| problem(StatusCode::BAD_REQUEST, &error.to_string())),
         Ok(Collected::Partial(_)) => Err(problem(StatusCode::PAYLOAD_TOO_LARGE, "body too large or slow")),
         Err(_) => Err(problem(StatusCode::BAD_REQUEST, "body broke off")),
--- a/crates/laurelstall_node/src/background.rs
+++ b/crates/laurelstall_node/src/background.rs
@@ -1,7 +1,7 @@
 //! Background tasks of a node, and its gauges.
 
 use crate::{
-    active::Active,
+    active_config::ActiveConfig,
     caller_limits::ActiveCallerLimits,
     counters::{Counters, MetricSender},
     metrics::Gauges,
@@ -21,8 +21,8 @@
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Applies each new configuration to the guard, the observer, the caller limits and the quotas. Runs until dropped.
-pub async fn follow_configuration(
-    active: Arc<Active>,
+pub async fn apply_configuration_changes(
+    active: Arc<ActiveConfig>,
     guard: TargetGuard,
     observer: Arc<Observer>,
     caller_limits: Arc<ActiveCallerLimits>,
@@ -30,14 +30,14 @@
 ) {
     let mut changes = active.changes();
     loop {
-        let in_force = active.load();
-        observer.set_limits(in_force.configuration.system.observe);
-        caller_limits.set_published(in_force.configuration.system.callers);
+        let snapshot = active.load();
+        observer.set_limits(snapshot.configuration.system.observe);
+        caller_limits.set_published(snapshot.configuration.system.callers);
         guard.update();
         quotas.follow_fleet();
         tokio::select! {
             changed = changes.changed() => if changed.is_err() { return },
-            () = active.follow_time() => {}
+            () = active.apply_next_expiry() => {}
         }
     }
 }
@@ -45,7 +45,7 @@
 /// Fetches missed updates from peers as soon as the machine resumes from suspension. Runs until dropped.
 ///
 /// A suspended machine misses the updates of its peers, and its next regular exchange may be a second away.
-pub async fn watch_suspension(clock: Clock, spread: Arc<Spread>) {
+pub async fn catch_up_after_suspension(clock: Clock, spread: Arc<Spread>) {
     let mut previous_us = clock.suspended_us();
     loop {
         sleep(SUSPENSION_CHECK_INTERVAL).await;
@@ -75,7 +75,7 @@
     counters: Arc<Counters>,
     guard: TargetGuard,
     meter: Arc<Meter>,
-    active: Arc<Active>,
+    active: Arc<ActiveConfig>,
 ) {
     loop {
         sleep(interval).await;
@@ -85,7 +85,7 @@
 }
 
 /// Returns the current values of the gauges.
-pub fn gauges(guard: &TargetGuard, meter: &Meter, active: &Active) -> Gauges {
+pub fn gauges(guard: &TargetGuard, meter: &Meter, active: &ActiveConfig) -> Gauges {
     let load = guard.guard().load();
     let fleet_version = active.load().configuration.version(&DocumentName::Fleet);
     vec![
@@ -98,6 +98,6 @@
         ("control_bytes", meter.control_bytes.load(Ordering::Relaxed)),
         ("peer_connections", meter.open.load(Ordering::Relaxed)),
         ("platform_era", fleet_version.era),
-        ("platform_returns", active.returns.load(Ordering::Relaxed)),
+        ("platform_returns", active.restores.load(Ordering::Relaxed)),
     ]
 }
--- a/crates/laurelstall_node/src/bin/laurelstall-node.rs
+++ b/crates/laurelstall_node/src/bin/laurelstall-node.rs
@@ -3,7 +3,7 @@
 use gumdrop::Options;
 use laurelstall_node::{
     node::NodeOptions,
-    process::{WRONG_USE, run_node},
+    process::{EXIT_USAGE, run_node},
 };
 use std::process::ExitCode;
 
@@ -25,7 +25,7 @@
     }
     let Some(file) = arguments.settings else {
         eprintln!("laurelstall-node: --settings FILE is required; see --help");
-        return ExitCode::from(WRONG_USE);
+        return ExitCode::from(EXIT_USAGE);
     };
     run_node(&file, NodeOptions::new)
 }
--- a/crates/laurelstall_node/src/body.rs
+++ b/crates/laurelstall_node/src/body.rs
@@ -12,12 +12,12 @@
 use tokio::time::{Duration, Instant, Sleep, sleep, timeout_at};
 
 /// Creates a body from bytes that are complete.
-pub fn whole(bytes: Bytes) -> AnswerBody {
+pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// Creates a body without content.
-pub fn empty() -> AnswerBody {
+pub fn empty_body() -> AnswerBody {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub enum Collected {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The body is longer or slower than the limits, or has trailers. It starts with the frames read so far.
     Partial(AnswerBody),
 }
@@ -41,7 +41,7 @@
     time_limit: Duration,
 ) -> Result<Collected, BodyError> {
     if body.is_end_stream() {
-        return Ok(Collected::Whole(Bytes::new()));
+        return Ok(Collected::Complete(Bytes::new()));
     }
     let deadline = Instant::now() + time_limit;
     let mut read = BytesMut::new();
@@ -50,10 +50,10 @@
     }
     loop {
         let Ok(frame) = timeout_at(deadline, body.frame()).await else { break };
-        let Some(frame) = frame else { return Ok(Collected::Whole(read.freeze())) };
+        let Some(frame) = frame else { return Ok(Collected::Complete(read.freeze())) };
         match frame?.into_data() {
             Ok(data) if read.is_empty() && body.is_end_stream() && data.len() <= bytes_max => {
-                return Ok(Collected::Whole(data));
+                return Ok(Collected::Complete(data));
             }
             Ok(data) => read.extend_from_slice(&data),
             Err(frame) => {
@@ -155,7 +155,7 @@
 }
 
 /// Wraps a body so that it fails when no frame arrives for `limit`.
-pub fn idle_body(body: AnswerBody, limit: Duration) -> AnswerBody {
+pub fn with_idle_timeout(body: AnswerBody, limit: Duration) -> AnswerBody {
     if body.is_end_stream() {
         return body;
     }
--- a/crates/laurelstall_node/src/call.rs
+++ b/crates/laurelstall_node/src/call.rs
@@ -1,7 +1,7 @@
 //! Runs one call at the entry: sends attempts to targets until the caller can be answered.
 
 use crate::{
-    active::InForce,
+    active_config::ConfigSnapshot,
     call_request::{CallOutcome, CallRequest},
     counters::Counters,
     decision_log::DecisionLog,
@@ -80,7 +80,7 @@
 /// A call in progress.
 pub struct Call<'a> {
     context: &'a CallContext,
-    in_force: &'a InForce,
+    snapshot: &'a ConfigSnapshot,
     service: Arc<ServiceState>,
     request: CallRequest,
     body: Option<AttemptBody>,
@@ -106,14 +106,14 @@
     /// Creates a call that has made no attempt yet.
     pub fn new(
         context: &'a CallContext,
-        in_force: &'a InForce,
+        snapshot: &'a ConfigSnapshot,
         service: Arc<ServiceState>,
         mut request: CallRequest,
     ) -> Self {
         let body = std::mem::replace(&mut request.body, AttemptBody::Whole(Bytes::new()));
         Self {
             context,
-            in_force,
+            snapshot,
             service,
             request,
             body: Some(body),
--- a/crates/laurelstall_node/src/call/outcomes.rs
+++ b/crates/laurelstall_node/src/call/outcomes.rs
@@ -1,7 +1,7 @@
 //! Reports the outcome of an attempt to the balancer and the decision log.
 
 use super::{Call, Destination};
-use crate::{decision_log::Decision, metrics::observe_us};
+use crate::{decision_log::Decision, metrics::record_us};
 use laurelstall_balance::service_balancer::AttemptResult;
 use laurelstall_config::document::{DocumentName, Version};
 use laurelstall_guard::refusal::{Refusal, TargetSignal};
@@ -31,7 +31,7 @@
             }
             AttemptOutcome::Unknown(cause) => (AttemptResult::Failed, cause.word()),
         };
-        observe_us(&self.context.latencies.attempts, took_us);
+        record_us(&self.context.latencies.attempts, took_us);
         self.record_result(destination, result);
         self.write_decision(destination, outcome_name, took_us);
     }
@@ -79,7 +79,7 @@
 
     /// Writes an attempt to the decision log, if it is enabled.
     pub(super) fn write_decision(&self, destination: &Destination, outcome: &str, took_us: u64) {
-        if !self.context.decisions.is_on() {
+        if !self.context.decisions.is_enabled() {
             return;
         }
         self.context.decisions.write(Decision {
@@ -92,7 +92,7 @@
             left_us: self.request.deadline_us.saturating_sub(destination.sent_at_us),
             service: self.service.name.clone(),
             version: self.policy_version(),
-            fleet_version: self.in_force.configuration.version(&DocumentName::Fleet),
+            fleet_version: self.snapshot.configuration.version(&DocumentName::Fleet),
             target: destination.name.clone(),
             why: destination.choice_reason.clone(),
             expected_us: destination.choice.score_us as u64,
@@ -106,6 +106,6 @@
 
     fn policy_version(&self) -> Version {
         let team = self.service.name.split('/').next().unwrap_or_default();
-        self.in_force.configuration.version(&DocumentName::Team(team.to_owned()))
+        self.snapshot.configuration.version(&DocumentName::Team(team.to_owned()))
     }
 }
--- a/crates/laurelstall_node/src/call/quarantine.rs
+++ b/crates/laurelstall_node/src/call/quarantine.rs
@@ -27,7 +27,7 @@
     /// Begins the trial run of a quarantined request if this node is the one that may do so.
     fn begin_local_trial(&self) -> bool {
         let digest = self.request.digest;
-        let fleet = &self.in_force.configuration.fleet;
+        let fleet = &self.snapshot.configuration.fleet;
         is_tried_by(fleet, &self.context.host, digest.whole) && self.context.crashes.begin_trial(digest)
     }
 
--- a/crates/laurelstall_node/src/call/target_choice.rs
+++ b/crates/laurelstall_node/src/call/target_choice.rs
@@ -29,7 +29,7 @@
         };
         let mut balancer = self.service.balancer();
         let choice = balancer.choose(&choosing)?;
-        let is_logged = self.context.decisions.is_on();
+        let is_logged = self.context.decisions.is_enabled();
         let views = balancer.targets();
         let view = &views[choice.index];
         let runner_up = choice.runner_up.filter(|_| is_logged);
@@ -62,6 +62,6 @@
     pub(super) fn wants_hint(&self, destination: &Destination, observe_percent: u8, now_us: u64) -> bool {
         let age_us = self.service.balancer().hint_age_us(destination.choice.index, now_us);
         let is_due = age_us.is_none_or(|age_us| age_us >= HINT_FRESH_US);
-        is_due && self.context.observer.may_ask_hint(observe_percent)
+        is_due && self.context.observer.try_request_hint(observe_percent)
     }
 }
--- a/crates/laurelstall_node/src/call/target_queries.rs
+++ b/crates/laurelstall_node/src/call/target_queries.rs
@@ -26,7 +26,7 @@
 async fn query_target(context: &CallContext, service: &ServiceState, target: &QueryTarget) {
     let address = service.address(&target.host).filter(|address| context.client.pool().has(*address));
     let Some(address) = address else { return };
-    if let Some(hint) = context.observer.ask(&context.client, address).await {
+    if let Some(hint) = context.observer.probe(&context.client, address).await {
         service.balancer().update_hint(target.index, &target.name, hint, context.clock.now_us());
     }
 }
--- a/crates/laurelstall_node/src/decision_log.rs
+++ b/crates/laurelstall_node/src/decision_log.rs
@@ -187,7 +187,7 @@
     }
 
     /// Returns whether decisions are logged.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.sender.is_some()
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Queues the end of a call, or drops and counts it when the queue is full or the rate limit is reached.
-    pub fn write_end(&self, end: CallEnd) {
+    pub fn write_call_end(&self, end: CallEnd) {
         let is_success = end.status < 400;
         self.send(Line::Call(end), is_success);
     }
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -1,8 +1,8 @@
 //! The entry: accepts callers' HTTP requests, routes them to targets and returns the answers.
 
 use crate::{
-    active::{Active, InForce},
-    body::whole,
+    active_config::{ActiveConfig, ConfigSnapshot},
+    body::full_body,
     call::{Call, CallContext},
     call_request::CallOutcome,
     caller_limits::ActiveCallerLimits,
@@ -10,7 +10,7 @@
     decision_log::{CallEnd, Decision},
     dialect::FailureInfo,
     headers::{TICKET, host_of},
-    metrics::observe_us,
+    metrics::record_us,
     milestones::{Milestone, Milestones},
     quotas::Quotas,
     running_requests::RunningRequests,
@@ -61,7 +61,7 @@
     /// State shared by all calls.
     pub context: CallContext,
     /// The configuration in force.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// The services called through this entry.
     pub services: Arc<Services>,
     /// Name of this host's own service, without its team; empty when there is none.
@@ -148,8 +148,8 @@
         let is_http1 = request.version() < http::Version::HTTP_2;
         let started_us = self.context.clock.now_us();
         let request_id = self.context.dialect.request_id(request.headers()).map(str::to_owned);
-        let logged = self.context.decisions.is_on().then(|| LoggedRequest::new(&request));
-        self.milestones.note(Milestone::FirstCall, self.context.clock.elapsed_ms());
+        let logged = self.context.decisions.is_enabled().then(|| LoggedRequest::new(&request));
+        self.milestones.record(Milestone::FirstCall, self.context.clock.elapsed_ms());
         let reply = match self.serve(id, request).await {
             Ok(reply) => reply,
             Err(rejection) => {
@@ -158,9 +158,9 @@
             }
         };
         let took_us = self.context.clock.now_us() - started_us;
-        observe_us(&self.context.latencies.calls, took_us);
+        record_us(&self.context.latencies.calls, took_us);
         if matches!(&reply, Reply::Answered(response) if response.status().is_success()) {
-            self.milestones.note(Milestone::FirstAnswer, self.context.clock.elapsed_ms());
+            self.milestones.record(Milestone::FirstAnswer, self.context.clock.elapsed_ms());
         }
         if let Some(logged) = logged {
             self.log_call_end(id, request_id.as_deref(), logged, &reply, took_us);
@@ -188,7 +188,7 @@
         let configuration = &self.active.load().configuration;
         let team = configuration.team_of_caller_host(&logged.host);
         let name = team.map(|team| DocumentName::Team(team.team.clone()));
-        self.context.decisions.write_end(CallEnd {
+        self.context.decisions.write_call_end(CallEnd {
             call,
             request_id: request_id.unwrap_or_default().to_owned(),
             method: logged.method.to_string(),
@@ -212,7 +212,7 @@
             }
             Reply::Failed(failed) => {
                 let FailedCall { status, outcome, reason, retry_after_ms } = failed;
-                let mut response = Response::new(whole(Bytes::from(format!("{outcome}: {reason}\n"))));
+                let mut response = Response::new(full_body(Bytes::from(format!("{outcome}: {reason}\n"))));
                 *response.status_mut() = status;
                 let headers = response.headers_mut();
                 headers.insert(http::header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -228,43 +228,43 @@
 
     async fn serve(&self, id: u64, request: Request<AnswerBody>) -> Result<Reply, Rejection> {
         let (parts, body) = request.into_parts();
-        let in_force = self.active.load();
+        let snapshot = self.active.load();
         let depth = self.validate_head(&parts)?;
         let host = host_of(&parts.uri, &parts.headers)
             .ok_or_else(|| Rejection::new(StatusCode::BAD_REQUEST, "no host, or more than one"))?;
-        if in_force.configuration.teams.is_empty() {
+        if snapshot.configuration.teams.is_empty() {
             return Ok(Reply::Failed(FailedCall::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no configuration yet",
                 Some(NO_CONFIGURATION_RETRY_MS),
             )));
         }
-        let team = in_force.configuration.team_of_caller_host(&host);
+        let team = snapshot.configuration.team_of_caller_host(&host);
         let team = team.ok_or_else(|| Rejection::new(StatusCode::NOT_FOUND, "no team has this host"))?;
         if parts.uri.path() == TICKETS_PATH {
-            return self.issue_tickets(&in_force, team, &parts).await;
+            return self.issue_tickets(&snapshot, team, &parts).await;
         }
-        let route = match self.find_route(&in_force, team, &parts, &host)? {
+        let route = match self.find_route(&snapshot, team, &parts, &host)? {
             Plan::Route(route) => route,
-            Plan::Refuse(reason) => return Ok(self.refused_by_program(id, &in_force, team, &reason)),
+            Plan::Refuse(reason) => return Ok(self.refused_by_program(id, &snapshot, team, &reason)),
         };
         let full_name = format!("{}/{}", team.team, route.service);
-        let service = self.services.get(&in_force, &full_name);
+        let service = self.services.get(&snapshot, &full_name);
         let service = service.ok_or_else(|| {
             Rejection::new(StatusCode::SERVICE_UNAVAILABLE, format!("no service {full_name}"))
         })?;
-        let caller = match self.authorize(&in_force, team, &parts, &route)? {
+        let caller = match self.authorize(&snapshot, team, &parts, &route)? {
             Authorization::Granted(caller) => caller,
             Authorization::Deferred(failed) => return Ok(Reply::Failed(failed)),
         };
-        let token = match self.take_token(&in_force, team, &caller).await {
+        let token = match self.take_token(&snapshot, team, &caller).await {
             Ok(token) => token,
             Err(failed) => return Ok(Reply::Failed(failed)),
         };
         let accepted = AcceptedHead { route, depth, service: full_name, caller };
         let read = self.read_call(id, parts, body, accepted).await;
         let request = read.inspect_err(|_| self.quotas.give_back(token.as_ref()))?;
-        let outcome = Call::new(&self.context, &in_force, service, request).run().await;
+        let outcome = Call::new(&self.context, &snapshot, service, request).run().await;
         if matches!(outcome, CallOutcome::NotRun(_)) {
             self.quotas.give_back(token.as_ref());
         }
@@ -292,16 +292,16 @@
     /// Finds the route of a request in the route table, or by the team's routing program.
     fn find_route(
         &self,
-        in_force: &InForce,
+        snapshot: &ConfigSnapshot,
         team: &Team,
         parts: &Parts,
         host: &str,
     ) -> Result<Plan, Rejection> {
-        let found = in_force.configuration.routes(&team.team);
+        let found = snapshot.configuration.routes(&team.team);
         if let Some((rule, service)) = found.and_then(|table| table.find(host, parts.uri.path())) {
             return Ok(Plan::Route(route_of(rule, service)));
         }
-        let program = in_force.programs.get(&team.team);
+        let program = snapshot.programs.get(&team.team);
         let program = program.ok_or_else(|| Rejection::new(StatusCode::NOT_FOUND, "no such route"))?;
         let view = RequestView {
             method: parts.method.as_str(),
@@ -318,8 +318,8 @@
 
     /// Whether the request matches a route of the route table that lets it run more than once.
     pub fn may_repeat(&self, head: &Parts) -> bool {
-        let in_force = self.active.load();
-        let configuration = &in_force.configuration;
+        let snapshot = self.active.load();
+        let configuration = &snapshot.configuration;
         let Some(host) = host_of(&head.uri, &head.headers) else { return false };
         let team = configuration.team_of_caller_host(&host);
         let table = team.and_then(|team| configuration.routes(&team.team));
@@ -352,7 +352,7 @@
     }
 
     /// Reports a call that the routing program refused and writes it to the decision log.
-    fn refused_by_program(&self, id: u64, in_force: &InForce, team: &Team, reason: &str) -> Reply {
+    fn refused_by_program(&self, id: u64, snapshot: &ConfigSnapshot, team: &Team, reason: &str) -> Reply {
         count(&self.context.counters.not_run);
         let name = DocumentName::Team(team.team.clone());
         self.context.decisions.write(Decision {
@@ -364,8 +364,8 @@
             is_return: false,
             left_us: 0,
             service: team.team.clone(),
-            version: in_force.configuration.version(&name),
-            fleet_version: in_force.configuration.version(&DocumentName::Fleet),
+            version: snapshot.configuration.version(&name),
+            fleet_version: snapshot.configuration.version(&DocumentName::Fleet),
             target: String::new(),
             why: "refused by the program".to_owned(),
             expected_us: 0,
@@ -382,7 +382,7 @@
     /// Answers a request for tickets with those of one target of the service.
     async fn issue_tickets(
         &self,
-        in_force: &InForce,
+        snapshot: &ConfigSnapshot,
         team: &Team,
         parts: &Parts,
     ) -> Result<Reply, Rejection> {
@@ -391,7 +391,7 @@
         }
         let (service_name, wanted) = read_tickets_query(parts.uri.query().unwrap_or_default())?;
         let full_name = format!("{}/{service_name}", team.team);
-        let service = self.services.get(in_force, &full_name);
+        let service = self.services.get(snapshot, &full_name);
         let service = service.ok_or_else(|| Rejection::new(StatusCode::NOT_FOUND, "no such service"))?;
         let mut excluded = Vec::new();
         loop {
@@ -498,7 +498,7 @@
 /// Builds a JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<AnswerBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(whole(Bytes::from(text)));
+    let mut response = Response::new(full_body(Bytes::from(text)));
     *response.status_mut() = status;
     let content_type = HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
--- a/crates/laurelstall_node/src/entry/authorization.rs
+++ b/crates/laurelstall_node/src/entry/authorization.rs
@@ -2,7 +2,7 @@
 
 use super::{Entry, FailedCall, Rejection};
 use crate::{
-    active::InForce,
+    active_config::ConfigSnapshot,
     counters::count,
     headers::bearer_key,
     quotas::{QuotaRefusal, QuotaToken},
@@ -63,12 +63,12 @@
     /// Returns a rejection if the call needs a key and carries none, or an unknown one.
     pub(super) fn authorize(
         &self,
-        in_force: &InForce,
+        snapshot: &ConfigSnapshot,
         team: &Team,
         parts: &Parts,
         route: &Route,
     ) -> Result<Authorization, Rejection> {
-        let Some(directory) = in_force.keys.get(&team.team).filter(|directory| directory.uses_keys()) else {
+        let Some(directory) = snapshot.keys.get(&team.team).filter(|directory| directory.uses_keys()) else {
             return Ok(Authorization::Granted(Caller::default()));
         };
         let key = bearer_key(&parts.headers);
@@ -140,7 +140,7 @@
     /// Returns a not-run failure if the quota is spent or no node that counts it answers.
     pub(super) async fn take_token(
         &self,
-        in_force: &InForce,
+        snapshot: &ConfigSnapshot,
         team: &Team,
         caller: &Caller,
     ) -> Result<Option<QuotaToken>, FailedCall> {
@@ -148,7 +148,7 @@
         let bounded = workspace.and_then(|workspace| Some((workspace, workspace.quota?)));
         let Some((workspace, quota)) = bounded else { return Ok(None) };
         let full_name = format!("{}/{}", team.team, workspace.name);
-        let fleet = &in_force.configuration.fleet;
+        let fleet = &snapshot.configuration.fleet;
         match self.quotas.take(fleet, &full_name, &quota).await {
             Ok(token) => Ok(Some(token)),
             Err(QuotaRefusal::Spent { retry_after_ms }) => {
--- a/crates/laurelstall_node/src/entry/request_reader.rs
+++ b/crates/laurelstall_node/src/entry/request_reader.rs
@@ -2,7 +2,7 @@
 
 use super::{Entry, Rejection, authorization::Caller, bad_number, read_ticket};
 use crate::{
-    body::{Collected, collect, idle_body},
+    body::{Collected, collect, with_idle_timeout},
     call_request::CallRequest,
     dialect::CallInfo,
     headers::{host_of, read_number, strip_request, text_value},
@@ -180,11 +180,11 @@
             max_bytes => http_body_util::Limited::new(body, max_bytes as usize).boxed_unsync(),
         };
         let idle = Duration::from_millis(limits.idle_timeout_ms);
-        let body = idle_body(body, idle);
+        let body = with_idle_timeout(body, idle);
         let timeout = if wait == BodyWait::Short { COLLECT_TIMEOUT } else { idle };
         let collected = collect(body, limits.replay_bytes, timeout).await;
         match collected {
-            Ok(Collected::Whole(bytes)) => Ok(AttemptBody::Whole(bytes)),
+            Ok(Collected::Complete(bytes)) => Ok(AttemptBody::Whole(bytes)),
             Ok(Collected::Partial(_)) if wait == BodyWait::Whole => {
                 Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "body too large or slow for a ticket"))
             }
--- a/crates/laurelstall_node/src/lib.rs
+++ b/crates/laurelstall_node/src/lib.rs
@@ -1,7 +1,7 @@
 //! The node: the entry that accepts callers' requests, the guard of the local target, and the
 //! administration API.
 
-pub mod active;
+pub mod active_config;
 pub mod admin;
 pub mod background;
 pub mod body;
@@ -13,7 +13,6 @@
 pub mod dialect;
 pub mod entry;
 pub mod headers;
-pub mod idle_stream;
 pub mod listener;
 pub mod load_query;
 pub mod logging;
@@ -21,7 +20,7 @@
 pub mod milestones;
 pub mod node;
 pub mod observer;
-pub mod ordered_connection;
+pub mod pipelined_connection;
 pub mod platform_http;
 pub mod process;
 pub mod quotas;
@@ -33,6 +32,7 @@
 pub mod target_pool;
 mod ticket_runs;
 pub mod wall_clock;
+pub mod write_timeout_stream;
 
 /// The types that most users of this crate need.
 pub mod prelude {
--- a/crates/laurelstall_node/src/listener.rs
+++ b/crates/laurelstall_node/src/listener.rs
@@ -1,12 +1,12 @@
 //! Accepts connections of callers and operators.
 
 use crate::{
-    body::whole,
+    body::full_body,
     caller_limits::ActiveCallerLimits,
     counters::{Counters, count},
     entry::Entry,
-    idle_stream::IdleStream,
-    ordered_connection::{ConnectionOptions, serve_ordered},
+    pipelined_connection::{ConnectionOptions, serve_pipelined},
+    write_timeout_stream::WriteTimeoutStream,
 };
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
@@ -38,13 +38,13 @@
 
     /// Returns whether a pipelined request may run before earlier requests of its connection are answered. It must be safe to
     /// repeat: when an earlier answer closes the connection, the caller sends it again.
-    fn may_run_beside(&self, _head: &Parts) -> bool {
+    fn may_run_concurrently(&self, _head: &Parts) -> bool {
         false
     }
 }
 
 impl Responder for Entry {
-    fn may_run_beside(&self, head: &Parts) -> bool {
+    fn may_run_concurrently(&self, head: &Parts) -> bool {
         self.may_repeat(head)
     }
 
@@ -111,7 +111,7 @@
             };
             connections.spawn(async move {
                 let _permit = permit;
-                if let Err(error) = serve_ordered(IdleStream::new(stream, idle), options).await {
+                if let Err(error) = serve_pipelined(WriteTimeoutStream::new(stream, idle), options).await {
                     log::debug!("caller's connection ended: {error}");
                 }
             });
@@ -141,7 +141,7 @@
 
 async fn refuse_connection(stream: TcpStream) {
     let service = service_fn(|_: Request<Incoming>| async {
-        let mut response = Response::new(whole(Bytes::from_static(b"not-run: too many connections\n")));
+        let mut response = Response::new(full_body(Bytes::from_static(b"not-run: too many connections\n")));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         let headers = response.headers_mut();
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/laurelstall_node/src/load_query.rs
+++ b/crates/laurelstall_node/src/load_query.rs
@@ -67,7 +67,7 @@
         let (parts, body) = response.into_parts();
         let body = body.map_err(BodyError::from).boxed_unsync();
         let read = collect(body, ANSWER_BYTES_MAX, QUERY_TIMEOUT).await;
-        if let (Ok(Collected::Whole(_)), Some(connection)) = (read, connection) {
+        if let (Ok(Collected::Complete(_)), Some(connection)) = (read, connection) {
             connection.give_back();
         }
         let instance = self.dialect.instance(&parts.headers).map(str::to_owned);
--- a/crates/laurelstall_node/src/metrics.rs
+++ b/crates/laurelstall_node/src/metrics.rs
@@ -48,7 +48,7 @@
 }
 
 /// Records a duration in µs.
-pub fn observe_us(histogram: &Histogram, duration_us: u64) {
+pub fn record_us(histogram: &Histogram, duration_us: u64) {
     histogram.observe(duration_us as f64 / 1e6);
 }
 
@@ -77,7 +77,7 @@
 }
 
 /// Encodes all metrics as text for Prometheus.
-pub fn text(
+pub fn encode_metrics(
     counters: Arc<Counters>,
     latencies: &Latencies,
     version_delays: &Histogram,
--- a/crates/laurelstall_node/src/milestones.rs
+++ b/crates/laurelstall_node/src/milestones.rs
@@ -32,7 +32,7 @@
 
 impl Milestones {
     /// Records that a milestone was reached `elapsed_ms` after the start of the node. Logs it and returns true the first time.
-    pub fn note(&self, milestone: Milestone, elapsed_ms: u64) -> bool {
+    pub fn record(&self, milestone: Milestone, elapsed_ms: u64) -> bool {
         let is_reached = match milestone {
             Milestone::FirstCall => &self.first_call,
             Milestone::FirstAnswer => &self.first_answer,
--- a/crates/laurelstall_node/src/node.rs
+++ b/crates/laurelstall_node/src/node.rs
@@ -1,9 +1,9 @@
 //! Starts and stops the components of a node together.
 
 use crate::{
-    active::Active,
+    active_config::ActiveConfig,
     admin::Admin,
-    background::{close_idle, follow_configuration, send_metrics, watch_suspension},
+    background::{apply_configuration_changes, catch_up_after_suspension, close_idle, send_metrics},
     call::CallContext,
     caller_limits::ActiveCallerLimits,
     counters::{Counters, MetricSender},
@@ -154,7 +154,7 @@
     /// Replicates the configuration between nodes.
     pub spread: Arc<Spread>,
     /// The current configuration.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// The guard of the local target.
     pub guard: TargetGuard,
     /// The entry that accepts callers' requests.
@@ -174,7 +174,7 @@
 struct PeerRequestHandler {
     guard: TargetGuard,
     spread: Arc<Spread>,
-    active: Arc<Active>,
+    active: Arc<ActiveConfig>,
     observer: Arc<Observer>,
     quotas: Arc<Quotas>,
     seeds: Vec<SocketAddr>,
@@ -196,7 +196,7 @@
         async move {
             match request {
                 PeerRequest::Probe => {
-                    let may_answer = self.observer.may_answer_probe();
+                    let may_answer = self.observer.try_answer_probe();
                     PeerAnswer::Probed(may_answer.then(|| self.guard.hint().into()))
                 }
                 PeerRequest::Tickets(request) => self.guard.issue_tickets(&request),
@@ -236,7 +236,7 @@
         let caller_limits = ActiveCallerLimits::new(settings.callers);
         let latencies = Arc::new(Latencies::default());
         let meter = Arc::new(Meter::default());
-        let active = Active::new();
+        let active = ActiveConfig::new();
         let observer = Arc::new(Observer::new(clock, counters.clone()));
         let client = PeerClient::new(Arc::new(Pool::new(clock, meter.clone(), link)));
         let host = settings.node.host.clone();
@@ -317,7 +317,7 @@
 
         log::info!("listening for peers on {peer_address}, {} ms after the start", clock.elapsed_ms());
         let mut background = JoinSet::new();
-        background.spawn(follow_configuration(
+        background.spawn(apply_configuration_changes(
             active.clone(),
             guard.clone(),
             observer.clone(),
@@ -340,9 +340,9 @@
         background.spawn(spread.clone().run());
         let probe_client = client.clone();
         let probe_observer = observer.clone();
-        background.spawn(async move { probe_observer.probe_loop(&services, &probe_client).await });
+        background.spawn(async move { probe_observer.run_probes(&services, &probe_client).await });
         background.spawn(close_idle(client));
-        background.spawn(watch_suspension(clock, spread.clone()));
+        background.spawn(catch_up_after_suspension(clock, spread.clone()));
         background.spawn(async move { quotas.monitor_connectivity().await });
         let watched = guard.clone();
         background.spawn(async move { watched.run_load_queries().await });
--- a/crates/laurelstall_node/src/observer.rs
+++ b/crates/laurelstall_node/src/observer.rs
@@ -60,9 +60,9 @@
     }
 
     /// Returns what was spent since the start of the node.
-    pub fn spent(&self) -> ObserveSpent {
+    pub fn usage(&self) -> ObserveUsage {
         let (request_budget, answer_budget) = (lock(&self.request_budget), lock(&self.answer_budget));
-        ObserveSpent {
+        ObserveUsage {
             bytes: request_budget.spent_bytes() + answer_budget.spent_bytes(),
             messages: request_budget.spent_messages() + answer_budget.spent_messages(),
             refused: request_budget.refused() + answer_budget.refused(),
@@ -70,24 +70,24 @@
     }
 
     /// Tries to withdraw the cost of requesting a hint on an answer. Uses at most `share_percent` of the budget.
-    pub fn may_ask_hint(&self, share_percent: u8) -> bool {
+    pub fn try_request_hint(&self, share_percent: u8) -> bool {
         share_percent > 0
             && lock(&self.request_budget).try_take(self.clock.now_us(), HINT_COST, share_percent)
     }
 
     /// Tries to withdraw the cost of attaching a hint to an answer of this node's guard.
-    pub fn may_carry_hint(&self) -> bool {
+    pub fn try_attach_hint(&self) -> bool {
         lock(&self.answer_budget).try_take(self.clock.now_us(), HINT_COST, 100)
     }
 
     /// Tries to withdraw the cost of answering a probe.
-    pub fn may_answer_probe(&self) -> bool {
+    pub fn try_answer_probe(&self) -> bool {
         let cost = ObserveCost { bytes: PROBE_BYTES, messages: 1 };
         lock(&self.answer_budget).try_take(self.clock.now_us(), cost, 100)
     }
 
     /// Probes the targets with the oldest hints as far as the budget allows. Runs until dropped.
-    pub async fn probe_loop(&self, services: &Services, client: &PeerClient) {
+    pub async fn run_probes(&self, services: &Services, client: &PeerClient) {
         loop {
             sleep(PROBE_INTERVAL).await;
             for service in services.used_since(self.clock.now_us().saturating_sub(SERVICE_IDLE_US)) {
@@ -96,7 +96,7 @@
                 let has_connection = |address| client.pool().has(address);
                 let stalest = service.stalest(now_us, PROBE_AGE_US, has_connection);
                 let Some((index, name, address)) = stalest else { continue };
-                if let Some(hint) = self.ask(client, address).await {
+                if let Some(hint) = self.probe(client, address).await {
                     service.balancer().update_hint(index, &name, hint, self.clock.now_us());
                 }
             }
@@ -105,7 +105,7 @@
 
     /// Probes the node at `address` for a hint on its target. Returns `None` when the budget is exhausted or there is no
     /// answer.
-    pub async fn ask(&self, client: &PeerClient, address: SocketAddr) -> Option<Hint> {
+    pub async fn probe(&self, client: &PeerClient, address: SocketAddr) -> Option<Hint> {
         if !self.try_withdraw_probe_cost() {
             return None;
         }
@@ -121,7 +121,7 @@
 
 /// Cost of observing targets since the start of the node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ObserveSpent {
+pub struct ObserveUsage {
     /// Bytes sent and received.
     pub bytes: u64,
     /// Probes sent and answered.
--- a/crates/laurelstall_node/src/ordered_connection.rs
+++ b/crates/laurelstall_node/src/pipelined_connection.rs
@@ -7,9 +7,9 @@
 
 use crate::{
     caller_limits::ActiveCallerLimits,
-    idle_stream::IdleStream,
     listener::{Responder, builder},
     request_head::{RequestHead, read_head},
+    write_timeout_stream::WriteTimeoutStream,
 };
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, HeaderValue, Request, header::CONNECTION};
@@ -129,7 +129,7 @@
 /// # Errors
 ///
 /// Returns the I/O error that ended the connection.
-pub async fn serve_ordered(stream: IdleStream, options: ConnectionOptions) -> io::Result<()> {
+pub async fn serve_pipelined(stream: WriteTimeoutStream, options: ConnectionOptions) -> io::Result<()> {
     let (mut input, mut output) = split(stream);
     let (answer_sender, answer_receiver) = mpsc::channel(REQUESTS_MAX);
     let mut running = JoinSet::new();
@@ -169,7 +169,7 @@
 
 /// Reads requests and starts them, after all earlier ones where they may not run concurrently.
 async fn read_requests(
-    input: &mut ReadHalf<IdleStream>,
+    input: &mut ReadHalf<WriteTimeoutStream>,
     answer_sender: mpsc::Sender<PendingAnswer>,
     running: &mut JoinSet<()>,
     requests: &Arc<RequestTracker>,
@@ -199,7 +199,7 @@
             RequestHead::Closed => return Ok(ReadEnd::CallerGone),
             RequestHead::Other => return Ok(ReadEnd::HandOver(buffer)),
         };
-        if !options.responder.may_run_beside(&parts) {
+        if !options.responder.may_run_concurrently(&parts) {
             // All permits are available once all earlier answers are written.
             let _all_permits = permits.acquire_many(REQUESTS_MAX as u32).await.map_err(io::Error::other)?;
         }
@@ -271,7 +271,7 @@
 /// Writes answers in the order of their requests.
 async fn write_answers(
     mut answer_receiver: mpsc::Receiver<PendingAnswer>,
-    output: &mut WriteHalf<IdleStream>,
+    output: &mut WriteHalf<WriteTimeoutStream>,
 ) -> io::Result<WriteEnd> {
     loop {
         let Some(mut pending) = answer_receiver.recv().await else { return Ok(WriteEnd::Written) };
@@ -289,8 +289,8 @@
 /// Lets hyper serve the rest of a connection.
 async fn serve_with_hyper(
     bytes: BytesMut,
-    input: ReadHalf<IdleStream>,
-    output: WriteHalf<IdleStream>,
+    input: ReadHalf<WriteTimeoutStream>,
+    output: WriteHalf<WriteTimeoutStream>,
     options: ConnectionOptions,
 ) -> io::Result<()> {
     let ConnectionOptions { responder, limits, mut stopping } = options;
@@ -319,7 +319,10 @@
 }
 
 /// Closes a connection so that the last answer arrives.
-async fn close(mut input: ReadHalf<IdleStream>, mut output: WriteHalf<IdleStream>) -> io::Result<()> {
+async fn close(
+    mut input: ReadHalf<WriteTimeoutStream>,
+    mut output: WriteHalf<WriteTimeoutStream>,
+) -> io::Result<()> {
     output.shutdown().await?;
     // Further input is discarded.
     let _ = timeout(LINGER_TIME, copy(&mut input, &mut sink())).await;
--- a/crates/laurelstall_node/src/process.rs
+++ b/crates/laurelstall_node/src/process.rs
@@ -14,7 +14,7 @@
 /// Interval between checks whether the settings file has changed.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Exit code for wrong usage or invalid settings.
-pub const WRONG_USE: u8 = 2;
+pub const EXIT_USAGE: u8 = 2;
 
 /// Runs a node with the settings in `file` until SIGTERM or SIGINT.
 ///
@@ -24,7 +24,7 @@
         Ok(settings) => settings,
         Err(message) => {
             eprintln!("{message}");
-            return ExitCode::from(WRONG_USE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     if logging::start(&settings.log.level, settings.log.decisions).is_err() {
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -1,7 +1,7 @@
 //! Rate limits of workspaces: requests quota tokens from the nodes that own shares, and grants tokens of own shares.
 
 use crate::{
-    active::Active,
+    active_config::ActiveConfig,
     counters::{Counters, count},
 };
 use laurelstall_config::{fleet::Fleet, settings::QuotaBounds, workspace::Quota};
@@ -98,7 +98,7 @@
     /// The distribution of configuration, which knows the age of the platform data.
     pub spread: Arc<Spread>,
     /// The configuration in force.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// Event counters of the node.
     pub counters: Arc<Counters>,
 }
@@ -244,8 +244,8 @@
 
     /// Updates the ownership of shares from the fleet document in force.
     pub fn follow_fleet(&self) {
-        let in_force = self.options.active.load();
-        self.owned().set_fleet(&in_force.configuration.fleet, self.options.clock.now_us());
+        let snapshot = self.options.active.load();
+        self.owned().set_fleet(&snapshot.configuration.fleet, self.options.clock.now_us());
     }
 
     /// Checks, while the platform data is outdated, that this node can reach other nodes; runs until dropped.
@@ -264,16 +264,16 @@
         if !self.is_connected() {
             return None;
         }
-        let in_force = self.options.active.load();
+        let snapshot = self.options.active.load();
         let (team, name) = key.workspace.split_once('/')?;
-        let quota = in_force.keys.get(team)?.named(name)?.quota?;
+        let quota = snapshot.keys.get(team)?.named(name)?.quota?;
         let split = QuotaSplit::new(&quota, &self.options.bounds);
         if key.share >= split.shares {
             return None;
         }
         let now_us = self.options.clock.now_us();
         let mut owned = self.owned();
-        owned.set_fleet(&in_force.configuration.fleet, now_us);
+        owned.set_fleet(&snapshot.configuration.fleet, now_us);
         owned.take(key, &split, wanted, now_us)
     }
 
--- a/crates/laurelstall_node/src/services.rs
+++ b/crates/laurelstall_node/src/services.rs
@@ -1,6 +1,6 @@
 //! The services called through this entry, each with its load balancer and the addresses of its targets' nodes.
 
-use crate::active::InForce;
+use crate::active_config::ConfigSnapshot;
 use laurelstall_balance::{chooser::Chooser, service_balancer::ServiceBalancer, target_view::TargetView};
 use laurelstall_config::{configuration::Configuration, team::Service};
 use laurelstall_guard::clock::Clock;
@@ -58,8 +58,8 @@
     }
 
     /// Updates targets and addresses from the configuration in force.
-    fn update(&self, in_force: &InForce, service: &Service, location: &NodeLocation, now_us: u64) {
-        let configuration = &in_force.configuration;
+    fn update(&self, snapshot: &ConfigSnapshot, service: &Service, location: &NodeLocation, now_us: u64) {
+        let configuration = &snapshot.configuration;
         let views = service.targets.iter().map(|target| {
             let round_trip_us = round_trip_us(configuration, location, &target.host);
             let mut view = TargetView::new(&target.name, &target.host, target.slots, round_trip_us, now_us);
@@ -122,15 +122,15 @@
         Self { location, clock, chooser, seed, states: Mutex::default() }
     }
 
-    /// Returns the service of this full name, updated to `in_force`; `None` if it does not exist.
-    pub fn get(&self, in_force: &InForce, full_name: &str) -> Option<Arc<ServiceState>> {
+    /// Returns the service of this full name, updated to `snapshot`; `None` if it does not exist.
+    pub fn get(&self, snapshot: &ConfigSnapshot, full_name: &str) -> Option<Arc<ServiceState>> {
         let now_us = self.clock.now_us();
         let state = self.lock().get(full_name).cloned();
-        if let Some(state) = state.filter(|s| s.generation.load(Ordering::Acquire) >= in_force.generation) {
+        if let Some(state) = state.filter(|s| s.generation.load(Ordering::Acquire) >= snapshot.generation) {
             state.used_at_us.store(now_us, Ordering::Relaxed);
             return Some(state);
         }
-        let Some(service) = in_force.configuration.service(full_name) else {
+        let Some(service) = snapshot.configuration.service(full_name) else {
             self.lock().remove(full_name);
             return None;
         };
@@ -140,8 +140,8 @@
             .or_insert_with(|| self.new_state(full_name, service))
             .clone();
         // A request that started under an older configuration must not restore it.
-        if state.generation.fetch_max(in_force.generation, Ordering::AcqRel) < in_force.generation {
-            state.update(in_force, service, &self.location, now_us);
+        if state.generation.fetch_max(snapshot.generation, Ordering::AcqRel) < snapshot.generation {
+            state.update(snapshot, service, &self.location, now_us);
         }
         state.used_at_us.store(now_us, Ordering::Relaxed);
         Some(state)
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -1,10 +1,10 @@
 //! The guard of this host's own target: admission control, tickets and forwarding of requests to the target.
 
 use crate::{
-    active::{Active, InForce},
+    active_config::{ActiveConfig, ConfigSnapshot},
     counters::{Counters, count},
     dialect::HeaderDialect,
-    metrics::{Latencies, observe_us},
+    metrics::{Latencies, record_us},
     observer::Observer,
     running_requests::RunningRequests,
     target_http::TargetClient,
@@ -91,7 +91,7 @@
     dialect: Arc<dyn HeaderDialect>,
     running: Arc<RunningRequests>,
     crashes: Arc<CrashRegistry>,
-    active: Arc<Active>,
+    active: Arc<ActiveConfig>,
     observer: Arc<Observer>,
     pub(crate) counters: Arc<Counters>,
     latencies: Arc<Latencies>,
@@ -118,7 +118,7 @@
     /// Random number that identifies this start of the guard.
     pub incarnation: u64,
     /// The configuration in force.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// Spends the byte budget for load observations.
     pub observer: Arc<Observer>,
     /// Event counters of the node.
@@ -177,10 +177,10 @@
 
     /// Applies the configuration in force: the state of the host, the listed target and its limits.
     pub fn update(&self) {
-        let in_force = self.inner.active.load();
-        self.follow_fleet(&in_force);
-        let own = self.inner.own_target(&in_force);
-        self.note_own_target(own.map(|(_, target)| target.name.as_str()), &in_force);
+        let snapshot = self.inner.active.load();
+        self.follow_fleet(&snapshot);
+        let own = self.inner.own_target(&snapshot);
+        self.note_own_target(own.map(|(_, target)| target.name.as_str()), &snapshot);
         let Some((service, target)) = own else { return };
         let limits = &service.limits;
         self.inner.guard.set_can_query(!service.load_path.is_empty() && !self.inner.is_baseline);
@@ -258,8 +258,8 @@
 
     /// Issues tickets for this host's own target.
     pub fn issue_tickets(&self, request: &TicketsRequest) -> PeerAnswer {
-        let in_force = self.inner.active.load();
-        let own = self.inner.own_target(&in_force);
+        let snapshot = self.inner.active.load();
+        let own = self.inner.own_target(&snapshot);
         let Some((service, _)) = own.filter(|(_, target)| {
             self.inner.is_own_service(&request.service) && target.name == request.target
         }) else {
@@ -302,7 +302,7 @@
                 AttemptOutcome::Unknown(_) => count(&inner.counters.guard_unknown),
                 AttemptOutcome::Answered { .. } => {}
             }
-            if wants_hint && inner.observer.may_carry_hint() {
+            if wants_hint && inner.observer.try_attach_hint() {
                 answer.hint = Some(inner.hint());
             }
             answer
@@ -333,8 +333,8 @@
     }
 
     /// Returns the service and the target that the configuration lists for this host, if any.
-    fn own_target<'a>(&self, in_force: &'a InForce) -> Option<(&'a Service, &'a Target)> {
-        let service = in_force.configuration.service(&self.settings.as_ref()?.service)?;
+    fn own_target<'a>(&self, snapshot: &'a ConfigSnapshot) -> Option<(&'a Service, &'a Target)> {
+        let service = snapshot.configuration.service(&self.settings.as_ref()?.service)?;
         let target = service.targets.iter().find(|target| target.host == self.host)?;
         Some((service, target))
     }
@@ -352,8 +352,8 @@
     /// Returns why a queued call must not start any more: the configuration in force no longer lists its target
     /// here, or the grace period of the drain is over.
     fn refusal_after_wait(&self, head: &AttemptHead) -> Option<RefusalReason> {
-        let in_force = self.active.load();
-        let is_named = self.own_target(&in_force).is_some_and(|(_, target)| self.is_named(target, head));
+        let snapshot = self.active.load();
+        let is_named = self.own_target(&snapshot).is_some_and(|(_, target)| self.is_named(target, head));
         if !is_named {
             return Some(RefusalReason::OtherTarget);
         }
@@ -375,10 +375,10 @@
 
     async fn run(self: &Arc<Self>, attempt: Attempt, admission: Admission) -> AttemptAnswer {
         let Attempt { head, body } = attempt;
-        let in_force = self.active.load();
-        let own = self.own_target(&in_force);
+        let snapshot = self.active.load();
+        let own = self.own_target(&snapshot);
         let Some((service, _)) = own.filter(|(_, target)| self.is_named(target, &head)) else {
-            let is_starting = in_force.configuration.fleet.hosts.is_empty();
+            let is_starting = snapshot.configuration.fleet.hosts.is_empty();
             let wait_us = if is_starting { NO_FLEET_RETRY_US } else { 0 };
             return not_run(instance::absent_refusal(wait_us), Some(body));
         };
@@ -409,8 +409,8 @@
             return WorkspaceShare::NO_WORKSPACE;
         }
         let team = head.service.split('/').next().unwrap_or_default();
-        let in_force = self.active.load();
-        let directory = in_force.keys.get(team);
+        let snapshot = self.active.load();
+        let directory = snapshot.keys.get(team);
         let workspace = directory.and_then(|directory| directory.named(&head.workspace));
         let weight = workspace.map_or(WorkspaceShare::NO_WORKSPACE.weight, |workspace| workspace.weight);
         WorkspaceShare { id: xxhash_rust::xxh3::xxh3_64(head.workspace.as_bytes()), weight }
@@ -442,9 +442,9 @@
                     return not_run(refusal, Some(run.body));
                 }
                 let admitted_us = self.clock.now_us();
-                observe_us(&self.latencies.waits, admitted_us - queued_us);
+                record_us(&self.latencies.waits, admitted_us - queued_us);
                 let answer = self.send(run, permit).await;
-                observe_us(&self.latencies.runs, self.clock.now_us() - admitted_us);
+                record_us(&self.latencies.runs, self.clock.now_us() - admitted_us);
                 answer
             }
             Err(refusal) => not_run(refusal, Some(run.body)),
--- a/crates/laurelstall_node/src/target_guard/crash_detection.rs
+++ b/crates/laurelstall_node/src/target_guard/crash_detection.rs
@@ -222,8 +222,8 @@
 
     /// Whether the target named `target` is draining or no longer listed.
     fn is_leaving(&self, target: &str) -> bool {
-        let in_force = self.active.load();
-        let is_listed = self.own_target(&in_force).is_some_and(|(_, own)| own.name == target);
+        let snapshot = self.active.load();
+        let is_listed = self.own_target(&snapshot).is_some_and(|(_, own)| own.name == target);
         self.guard.is_draining() || !is_listed
     }
 }
--- a/crates/laurelstall_node/src/target_guard/forwarding.rs
+++ b/crates/laurelstall_node/src/target_guard/forwarding.rs
@@ -178,7 +178,7 @@
 /// Receives the body that the entry sends after admission; `None` when the entry or the connection to it is gone.
 async fn receive_body(body: AnswerBody) -> Option<Bytes> {
     match collect(body, GO_BYTES_MAX, GO_TIMEOUT).await {
-        Ok(Collected::Whole(bytes)) => Some(bytes),
+        Ok(Collected::Complete(bytes)) => Some(bytes),
         Ok(Collected::Partial(_)) | Err(_) => None,
     }
 }
--- a/crates/laurelstall_node/src/target_guard/instance.rs
+++ b/crates/laurelstall_node/src/target_guard/instance.rs
@@ -88,8 +88,8 @@
         let (Some(settings), Some(client)) = (&self.settings, &self.client) else {
             return Err(TargetError::NoConnection);
         };
-        let in_force = self.active.load();
-        let path = self.own_target(&in_force).map_or("", |(service, _)| &service.load_path);
+        let snapshot = self.active.load();
+        let path = self.own_target(&snapshot).map_or("", |(service, _)| &service.load_path);
         let query = LoadQuery { settings, client, dialect: &*self.dialect };
         query.report(path).await
     }
--- a/crates/laurelstall_node/src/target_guard/listed_target.rs
+++ b/crates/laurelstall_node/src/target_guard/listed_target.rs
@@ -1,7 +1,7 @@
 //! Applies changes in the fleet document that concern this host and its own target.
 
 use super::TargetGuard;
-use crate::active::InForce;
+use crate::active_config::ConfigSnapshot;
 use laurelstall_config::{document::DocumentName, fleet::HostState};
 use std::sync::{PoisonError, atomic::Ordering};
 
@@ -26,13 +26,13 @@
 
 impl TargetGuard {
     /// Drains while the host is leaving or its data centre is evacuated; entries may learn of it later.
-    pub(super) fn follow_fleet(&self, in_force: &InForce) {
-        let fleet = &in_force.configuration.fleet;
+    pub(super) fn follow_fleet(&self, snapshot: &ConfigSnapshot) {
+        let fleet = &snapshot.configuration.fleet;
         let host = fleet.host(&self.inner.host);
         let is_leaving = host.is_some_and(|host| host.state == HostState::Leaving);
         let is_evacuated = host.is_some_and(|host| fleet.is_evacuated(&host.data_centre));
         if !self.inner.drains.leaving.swap(is_leaving, Ordering::Relaxed) && is_leaving {
-            let version = in_force.configuration.version(&DocumentName::Fleet);
+            let version = snapshot.configuration.version(&DocumentName::Fleet);
             log::info!("own host: leaving, according to version {version} of the fleet document");
         }
         let was_evacuated = self.inner.drains.evacuated.swap(is_evacuated, Ordering::Relaxed);
@@ -46,9 +46,9 @@
     }
 
     /// Updates the listed target of this host, and with it the cold start and the expected instance name.
-    pub(super) fn note_own_target(&self, name: Option<&str>, in_force: &InForce) {
+    pub(super) fn note_own_target(&self, name: Option<&str>, snapshot: &ConfigSnapshot) {
         let name = name.unwrap_or_default();
-        let fleet = &in_force.configuration.fleet;
+        let fleet = &snapshot.configuration.fleet;
         let own = fleet.targets.iter().find(|target| target.name == name);
         let cold_ms = own.map_or(0, |target| target.cold_ms);
         let started_unix_ms = own.map_or(0, |target| target.started_unix_ms);
@@ -67,7 +67,7 @@
         if before.name == name {
             return;
         }
-        let version = in_force.configuration.version(&DocumentName::Fleet);
+        let version = snapshot.configuration.version(&DocumentName::Fleet);
         log::info!(
             "own target: '{name}' replaces '{}' in version {version} of the fleet document",
             before.name
--- a/crates/laurelstall_node/src/target_guard/responses.rs
+++ b/crates/laurelstall_node/src/target_guard/responses.rs
@@ -2,7 +2,7 @@
 
 use super::{Inner, ReceivedResponse, connection_lost, crash_detection::WatchedRun, refused, unknown};
 use crate::{
-    body::{Collected, WatchedBody, collect, whole},
+    body::{Collected, WatchedBody, collect, full_body},
     counters::count,
     dialect::AnswerKind,
     headers::strip_hop_by_hop,
@@ -67,13 +67,13 @@
         strip_hop_by_hop(&mut headers);
         let body = body.map_err(BodyError::from).boxed_unsync();
         let outcome = match collect(body, BUFFERED_BYTES_MAX, BUFFERING_TIMEOUT).await {
-            Ok(Collected::Whole(bytes)) => {
+            Ok(Collected::Complete(bytes)) => {
                 drop(permit);
                 run.note_answered();
                 if let Some(connection) = connection {
                     connection.give_back();
                 }
-                AttemptOutcome::Answered { status, headers, body: whole(bytes) }
+                AttemptOutcome::Answered { status, headers, body: full_body(bytes) }
             }
             Ok(Collected::Partial(body)) => {
                 let body = self.watched_body(body, permit, run, connection);
--- a/crates/laurelstall_node/src/target_http.rs
+++ b/crates/laurelstall_node/src/target_http.rs
@@ -1,7 +1,7 @@
 //! HTTP client for this host's own target.
 
 use crate::{
-    body::{empty, whole},
+    body::{empty_body, full_body},
     target_pool::{PoolError, TargetPool, UsedConnection},
 };
 use http::{HeaderMap, Method, Request, Response, Uri, Version};
@@ -109,8 +109,8 @@
         TargetHttp::Http2 => format!("http://{}{path}", settings.address).parse().ok()?,
     };
     let body = match body {
-        AttemptBody::Whole(bytes) if bytes.is_empty() => empty(),
-        AttemptBody::Whole(bytes) => whole(bytes),
+        AttemptBody::Whole(bytes) if bytes.is_empty() => empty_body(),
+        AttemptBody::Whole(bytes) => full_body(bytes),
         AttemptBody::Stream(body) => body,
     };
     let mut request = Request::new(body);
--- a/crates/laurelstall_node/src/ticket_runs.rs
+++ b/crates/laurelstall_node/src/ticket_runs.rs
@@ -1,7 +1,7 @@
 //! Runs calls with a ticket at most once and keeps their answers for retries.
 
 use crate::{
-    body::{Collected, collect, whole},
+    body::{Collected, collect, full_body},
     counters::count,
     target_guard::{Inner, PendingAttempt, refused, unknown},
 };
@@ -93,13 +93,13 @@
     ) -> AttemptOutcome {
         let timeout = Duration::from_secs(30);
         match collect(body, kept_bytes, timeout).await {
-            Ok(Collected::Whole(bytes)) => {
+            Ok(Collected::Complete(bytes)) => {
                 let pairs =
                     headers.iter().map(|(n, v)| (n.as_str().to_owned(), v.as_bytes().to_vec().into()));
                 let kept =
                     KeptAnswer { status: status.as_u16(), headers: pairs.collect(), body: bytes.clone() };
                 self.ledger().end_answered(token, Some(kept));
-                AttemptOutcome::Answered { status, headers, body: whole(bytes) }
+                AttemptOutcome::Answered { status, headers, body: full_body(bytes) }
             }
             Ok(Collected::Partial(body)) => {
                 self.ledger().end_answered(token, None);
@@ -124,5 +124,5 @@
         }
     }
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    AttemptOutcome::Answered { status, headers, body: whole(answer.body.clone()) }
+    AttemptOutcome::Answered { status, headers, body: full_body(answer.body.clone()) }
 }
--- a/crates/laurelstall_node/src/idle_stream.rs
+++ b/crates/laurelstall_node/src/write_timeout_stream.rs
@@ -14,13 +14,13 @@
 
 /// A TCP connection with a write timeout.
 #[derive(Debug)]
-pub struct IdleStream {
+pub struct WriteTimeoutStream {
     inner: TcpStream,
     limit: Duration,
     write_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl IdleStream {
+impl WriteTimeoutStream {
     /// Wraps `inner` so that a write fails with [`io::ErrorKind::TimedOut`] after it was blocked for `limit`.
     pub fn new(inner: TcpStream, limit: Duration) -> Self {
         Self { inner, limit, write_timer: None }
@@ -41,7 +41,7 @@
     }
 }
 
-impl AsyncRead for IdleStream {
+impl AsyncRead for WriteTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -51,7 +51,7 @@
     }
 }
 
-impl AsyncWrite for IdleStream {
+impl AsyncWrite for WriteTimeoutStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.inner).poll_write(cx, buf);
         self.check_timeout(cx, polled)
--- a/crates/laurelstall_node/tests/lapsed.rs
+++ b/crates/laurelstall_node/tests/lapsed.rs
@@ -1,7 +1,7 @@
 //! Targets that are missing from the fleet document after an outage of the platform. The clock is paused.
 
 use laurelstall_config::document::{Document, DocumentName, Version};
-use laurelstall_node::active::Active;
+use laurelstall_node::active_config::ActiveConfig;
 use laurelstall_peer::{
     carried_news::{CarriedNews, Departed, DepartedHost, HostStart},
     store::Acceptor,
@@ -27,15 +27,15 @@
     Document { name: DocumentName::Fleet, version: Version::new(number), text }
 }
 
-fn targets(active: &Active) -> Vec<String> {
+fn targets(active: &ActiveConfig) -> Vec<String> {
     let in_force = active.load();
     let mut names = in_force.configuration.fleet.targets.iter().map(|t| t.name.clone()).collect::<Vec<_>>();
     names.sort();
     names
 }
 
-fn active_with(document: &Document) -> Arc<Active> {
-    let active = Active::new();
+fn active_with(document: &Document) -> Arc<ActiveConfig> {
+    let active = ActiveConfig::new();
     active.accept(document).expect("valid fleet document");
     active
 }
@@ -51,10 +51,13 @@
         .accept(&fleet_document(3, &[("a", "h-a", "live"), ("b", "h-b", "live")]))
         .expect("valid fleet document");
     advance(Duration::from_millis(1_900)).await;
-    assert!(timeout(SHORT_TIMEOUT, active.follow_time()).await.is_err(), "the grace period is not over");
+    assert!(
+        timeout(SHORT_TIMEOUT, active.apply_next_expiry()).await.is_err(),
+        "the grace period is not over"
+    );
     assert_eq!(targets(&active), ["a", "b", "c"]);
     advance(Duration::from_millis(200)).await;
-    timeout(SHORT_TIMEOUT, active.follow_time()).await.expect("the grace period is over");
+    timeout(SHORT_TIMEOUT, active.apply_next_expiry()).await.expect("the grace period is over");
     assert_eq!(targets(&active), ["a", "b"], "targets still missing are removed");
     active.accept(&fleet_document(4, &[("a", "h-a", "live")])).expect("valid fleet document");
     assert_eq!(targets(&active), ["a"], "targets removed from the fleet document later are removed at once");
@@ -80,7 +83,10 @@
     active
         .accept(&fleet_document(3, &[("a", "h-a", "live"), ("c", "h-c", "live")]))
         .expect("valid fleet document");
-    assert!(timeout(SHORT_TIMEOUT, active.follow_time()).await.is_err(), "no kept target is left to remove");
+    assert!(
+        timeout(SHORT_TIMEOUT, active.apply_next_expiry()).await.is_err(),
+        "no kept target is left to remove"
+    );
     assert_eq!(targets(&active), ["a", "c"]);
 }
 
@@ -93,7 +99,7 @@
     active.accept(&fleet_document(2, &[("a", "h-a", "live")])).expect("valid fleet document");
     assert_eq!(targets(&active), ["a", "b"]);
     advance(Duration::from_millis(600)).await;
-    timeout(SHORT_TIMEOUT, active.follow_time()).await.expect("the grace period is over");
+    timeout(SHORT_TIMEOUT, active.apply_next_expiry()).await.expect("the grace period is over");
     assert_eq!(targets(&active), ["a"]);
 }
 
--- a/crates/laurelstall_node/tests/milestones.rs
+++ b/crates/laurelstall_node/tests/milestones.rs
@@ -5,8 +5,8 @@
 #[test]
 fn each_milestone_is_recorded_once() {
     let milestones = Milestones::default();
-    assert!(milestones.note(Milestone::FirstCall, 5_000));
-    assert!(!milestones.note(Milestone::FirstCall, 6_000));
-    assert!(milestones.note(Milestone::FirstAnswer, 7_000));
-    assert!(!milestones.note(Milestone::FirstAnswer, 8_000));
+    assert!(milestones.record(Milestone::FirstCall, 5_000));
+    assert!(!milestones.record(Milestone::FirstCall, 6_000));
+    assert!(milestones.record(Milestone::FirstAnswer, 7_000));
+    assert!(!milestones.record(Milestone::FirstAnswer, 8_000));
 }
--- a/crates/laurelstall_standin/src/bin/laurelstall-fleet.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-fleet.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 /// Exit code for wrong use.
-const WRONG_USE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 /// Exit code for a broken promise.
 const BROKEN_PROMISE: u8 = 3;
 /// Most nodes in one process: three listeners and some connections each stay within descriptors.
@@ -43,7 +43,7 @@
     let disturbance = Disturbance::from_name(&arguments.disturbance);
     let Some(disturbance) = disturbance.filter(|_| (2..=NODES_MAX).contains(&arguments.nodes)) else {
         eprintln!("laurelstall-fleet: wrong --nodes or --disturbance; see --help");
-        return ExitCode::from(WRONG_USE);
+        return ExitCode::from(EXIT_USAGE);
     };
     let plan = FleetPlan {
         nodes: arguments.nodes,
--- a/crates/laurelstall_standin/src/bin/laurelstall-load.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-load.rs
@@ -12,7 +12,7 @@
 use std::{collections::BTreeMap, path::Path, process::ExitCode};
 
 /// Exit code for wrong use.
-const WRONG_USE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 /// Exit code for a broken promise.
 const BROKEN_PROMISE: u8 = 3;
 
@@ -70,7 +70,7 @@
         Ok(read) => read,
         Err(message) => {
             eprintln!("{message}");
-            return ExitCode::from(WRONG_USE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match measure(&arguments, &scenario, &balancers) {
--- a/crates/laurelstall_standin/src/bin/laurelstall-try.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-try.rs
@@ -11,7 +11,7 @@
 use std::{process::ExitCode, sync::atomic::Ordering, time::Duration};
 
 /// Exit code for wrong use.
-const WRONG_USE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 /// Exit code for a broken promise.
 const BROKEN_PROMISE: u8 = 3;
 /// Pause between two pings.
@@ -61,7 +61,7 @@
     }
     let Some(mut plan) = HarnessPlan::deployment(&arguments.deployment, 4, 8.0) else {
         eprintln!("laurelstall-try: --deployment must be faltgard or kuantan");
-        return ExitCode::from(WRONG_USE);
+        return ExitCode::from(EXIT_USAGE);
     };
     plan.seed = arguments.seed;
     for service in &mut plan.services {
@@ -130,7 +130,7 @@
     let latency = latency_of(&finished);
     let added = |percent: f64| through.percentile_ms(percent) - direct.percentile_ms(percent);
     let per_node = seconds as f64 * nodes.len() as f64;
-    let observed: u64 = nodes.iter().map(|(_, node)| node.entry.context.observer.spent().bytes).sum();
+    let observed: u64 = nodes.iter().map(|(_, node)| node.entry.context.observer.usage().bytes).sum();
     Ok(TryResult {
         totals,
         p50_ms: latency.percentile_ms(50.0),
--- a/crates/laurelstall_standin/src/experiment.rs
+++ b/crates/laurelstall_standin/src/experiment.rs
@@ -424,7 +424,7 @@
         sleep(Duration::from_millis(SAMPLE_MS)).await;
         let nodes = harness.nodes();
         let before = StdInstant::now();
-        let spent = nodes.iter().map(|(_, node)| node.entry.context.observer.spent().bytes).collect();
+        let spent = nodes.iter().map(|(_, node)| node.entry.context.observer.usage().bytes).collect();
         samples.push(Sample { before, after: StdInstant::now(), spent });
     }
     let mut grown = Vec::new();
--- a/crates/laurelstall_standin/src/node_thread.rs
+++ b/crates/laurelstall_standin/src/node_thread.rs
@@ -2,7 +2,7 @@
 
 use crate::threads::RuntimeThread;
 use laurelstall_node::{
-    active::Active,
+    active_config::ActiveConfig,
     counters::Counters,
     entry::Entry,
     node::{Node, NodeError, NodeOptions},
@@ -35,7 +35,7 @@
     /// The spreading of configuration.
     pub spread: Arc<Spread>,
     /// The configuration in force.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// The guard.
     pub guard: TargetGuard,
     /// The entry.
--- a/crates/laurelstall_standin/tests/observing.rs
+++ b/crates/laurelstall_standin/tests/observing.rs
@@ -53,6 +53,6 @@
         assert_eq!(answer.expect("an answer").status, 200);
     }
     for (name, node) in harness.nodes() {
-        assert_eq!(node.entry.context.observer.spent().bytes, 0, "{name}");
+        assert_eq!(node.entry.context.observer.usage().bytes, 0, "{name}");
     }
 }
