--- a/crates/laurelstall_peer/src/message.rs
+++ b/crates/laurelstall_peer/src/message.rs
@@ -181,7 +181,7 @@
     pub crashes_hash: u64,
     /// Hash of the corrections since the last restore of the platform; 0 for none.
     pub carried_hash: u64,
-    /// Time since which the platform has held nothing newer than this node at most, in ms.
+    /// Upper bound for the age of the held documents, in ms: at that time the platform held nothing newer.
     pub documents_age_ms: u64,
 }
 
--- a/crates/laurelstall_peer/src/recent_fleet.rs
+++ b/crates/laurelstall_peer/src/recent_fleet.rs
@@ -114,8 +114,8 @@
     pub fn news(&self, now: Instant) -> Option<CarriedNews> {
         let corrections = self.corrections.as_ref()?;
         let departed = corrections.departed.iter().take(WORDS_MAX);
-        let departed =
-            departed.map(|(start, departed)| DepartedHost { start: start.clone(), departed: *departed });
+        let departed = departed
+            .map(|(instance, departed)| DepartedHost { start: instance.clone(), departed: *departed });
         let evacuations = corrections.evacuations.iter();
         let evacuations = evacuations.map(|(data_centre, is_evacuated)| EvacuationWord {
             data_centre: data_centre.clone(),
@@ -140,10 +140,10 @@
         let (Some(corrections), Some(era)) = (corrections, self.era) else { return 0 };
         let mut hash = Xxh3::new();
         hash.write_u64(era);
-        for (start, departed) in &corrections.departed {
-            hash.write(start.host.as_bytes());
-            hash.write(start.target.as_bytes());
-            hash.write_u64(start.started_unix_ms);
+        for (instance, departed) in &corrections.departed {
+            hash.write(instance.host.as_bytes());
+            hash.write(instance.target.as_bytes());
+            hash.write_u64(instance.started_unix_ms);
             hash.write_u8(u8::from(*departed == Departed::Gone));
         }
         for (data_centre, is_evacuated) in &corrections.evacuations {
@@ -183,7 +183,7 @@
     fn start_corrections(&mut self, in_force: &Fleet, now: Instant) {
         let mut corrections =
             Corrections { since: now, ..self.corrections.take().unwrap_or_else(|| Corrections::new(now)) };
-        let departed = self.departed.iter().map(|(start, timed)| (start.clone(), timed.value));
+        let departed = self.departed.iter().map(|(instance, timed)| (instance.clone(), timed.value));
         corrections.departed.extend(departed);
         corrections.unlisted = live_hosts(in_force).collect();
         corrections
@@ -199,21 +199,21 @@
         let before = index_hosts(&self.listed, |host| changed.contains(host));
         let after = index_hosts(listed, |host| changed.contains(host));
         let mut changes = Vec::new();
-        for (start, listed) in &before {
-            match after.get(start) {
-                None => changes.push((start.owned(), Some(Departed::Gone))),
+        for (instance, listed) in &before {
+            match after.get(instance) {
+                None => changes.push((instance.owned(), Some(Departed::Gone))),
                 Some(later) if !later.is_live() && listed.is_live() => {
-                    changes.push((start.owned(), Some(Departed::Leaving)));
+                    changes.push((instance.owned(), Some(Departed::Leaving)));
                 }
                 Some(_) => {}
             }
         }
         // A new or changed entry was written by the host itself, so it overrides older corrections.
         let live = after.iter().filter(|(_, listed)| listed.is_live());
-        let written = live.filter(|(start, listed)| before.get(*start) != Some(*listed));
-        changes.extend(written.map(|(start, _)| (start.owned(), None)));
-        for (start, departed) in changes {
-            self.record_departure(start, departed, now);
+        let written = live.filter(|(instance, listed)| before.get(*instance) != Some(*listed));
+        changes.extend(written.map(|(instance, _)| (instance.owned(), None)));
+        for (instance, departed) in changes {
+            self.record_departure(instance, departed, now);
         }
         let is_listed = |name: &&String| !listed.evacuated.contains(name);
         let taken_back = self.listed.evacuated.iter().filter(is_listed).map(|name| (name.clone(), false));
@@ -227,14 +227,14 @@
     }
 
     /// Records that a host departed, or with `None` that it is in service.
-    fn record_departure(&mut self, start: HostStart, departed: Option<Departed>, now: Instant) {
+    fn record_departure(&mut self, instance: HostStart, departed: Option<Departed>, now: Instant) {
         match departed {
             Some(value) => {
-                self.departed.insert(start, Timed { value, at: now });
+                self.departed.insert(instance, Timed { value, at: now });
             }
             None => {
-                self.departed.remove(&start);
-                self.corrections.as_mut().map(|corrections| corrections.departed.remove(&start));
+                self.departed.remove(&instance);
+                self.corrections.as_mut().map(|corrections| corrections.departed.remove(&instance));
             }
         }
     }
@@ -252,8 +252,8 @@
 
     /// Removes hosts that were gone, and marks those that were leaving.
     fn apply_departed(&self, fleet: &mut Fleet) {
-        let departures = index_hosts(fleet, |_| true).into_iter().filter_map(|(start, listed)| {
-            let departure = self.departed.get(&start.owned())?;
+        let departures = index_hosts(fleet, |_| true).into_iter().filter_map(|(instance, listed)| {
+            let departure = self.departed.get(&instance.owned())?;
             Some((listed.host.name.clone(), *departure))
         });
         let departures = departures.collect::<HashMap<_, _>>();
@@ -272,7 +272,7 @@
         let listed = fleet.hosts.iter().map(|host| host.name.as_str()).collect::<HashSet<_>>();
         self.unlisted.retain(|name, _| !listed.contains(name.as_str()));
         for unlisted in self.unlisted.values() {
-            if !self.departed.contains_key(&unlisted.start()) {
+            if !self.departed.contains_key(&unlisted.instance()) {
                 fleet.hosts.push(unlisted.host.clone());
                 fleet.targets.extend(unlisted.target.clone());
             }
@@ -301,8 +301,8 @@
 }
 
 impl UnlistedHost {
-    fn start(&self) -> HostStart {
-        StartRef::new(&self.host, self.target.as_ref()).owned()
+    fn instance(&self) -> HostStart {
+        InstanceRef::new(&self.host, self.target.as_ref()).owned()
     }
 }
 
@@ -329,13 +329,13 @@
 
 /// A borrowed [`HostStart`]; avoids copies of a whole list for a few changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct StartRef<'a> {
+struct InstanceRef<'a> {
     host: &'a str,
     target: &'a str,
     started_unix_ms: u64,
 }
 
-impl<'a> StartRef<'a> {
+impl<'a> InstanceRef<'a> {
     fn new(host: &'a Host, target: Option<&'a FleetTarget>) -> Self {
         Self {
             host: &host.name,
@@ -354,13 +354,13 @@
 }
 
 /// Indexes the wanted hosts of a list.
-fn index_hosts(fleet: &Fleet, is_wanted: impl Fn(&str) -> bool) -> HashMap<StartRef<'_>, ListedHost<'_>> {
+fn index_hosts(fleet: &Fleet, is_wanted: impl Fn(&str) -> bool) -> HashMap<InstanceRef<'_>, ListedHost<'_>> {
     let targets = fleet.targets.iter().filter(|target| is_wanted(&target.host));
     let targets = targets.map(|target| (target.host.as_str(), target)).collect::<HashMap<_, _>>();
     let hosts = fleet.hosts.iter().filter(|host| is_wanted(&host.name));
     let found = hosts.map(|host| {
         let target = targets.get(host.name.as_str()).copied();
-        (StartRef::new(host, target), ListedHost { host, target })
+        (InstanceRef::new(host, target), ListedHost { host, target })
     });
     found.collect()
 }
--- a/crates/laurelstall_peer/src/spread/reading.rs
+++ b/crates/laurelstall_peer/src/spread/reading.rs
@@ -48,9 +48,9 @@
                         log::info!("platform: reachable again after {failures} failed reads");
                     }
                     failures = 0;
-                    let has_news = self.counts.taken.load(Ordering::Relaxed) > taken;
+                    let has_change = self.counts.taken.load(Ordering::Relaxed) > taken;
                     let is_short = self.clock.now_us() - started_us < WATCH_SHORT_US;
-                    if is_short && !has_news {
+                    if is_short && !has_change {
                         // A platform with stale data may answer each watch at once with known versions.
                         sleep(self.jittered(ROLE_CHECK_MS)).await;
                     } else if is_short && self.is_backup_reader() {
