--- a/crates/laurelstall_spec/src/attempts.rs
+++ b/crates/laurelstall_spec/src/attempts.rs
@@ -1,193 +1,196 @@
-//! A call without a ticket that may not be repeated: one attempt at a time, over several guards.
+//! A call without a ticket that must not run twice: the entry node sends one attempt at a time, to several
+//! guards in turn.
 
 use crate::search::Model;
 
-/// Guards that the entry may try.
+/// Number of guards that the entry may send the call to.
 const GUARDS: usize = 3;
 
-/// A rule that can be left out.
+/// A deliberate fault in the design: one of its rules is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weakness {
-    /// None: the design as it is.
+pub enum Mutation {
+    /// No fault: the design as it is.
     None,
-    /// The entry tries elsewhere after a timeout.
-    RetryUnknown,
-    /// The entry takes a broken connection for *not run*.
-    BrokenIsNotRun,
-    /// The entry says *not run* though one attempt was *unknown*.
-    ForgetsUnknown,
-    /// The guard hands back a call that it has given to its target.
+    /// The entry retries at another guard after an attempt whose outcome is *unknown*.
+    RetriesUnknown,
+    /// The entry treats a timeout or a broken connection as *not run*.
+    BrokenConnectionIsNotRun,
+    /// The entry reports *not run* to the caller although the outcome of an attempt is *unknown*.
+    ReportsUnknownAsNotRun,
+    /// The guard hands back a call that already runs at its target.
     HandsBackRunning,
 }
 
-/// Where one attempt is.
+/// The progress of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Attempt {
-    /// Not sent.
+    /// The attempt has not been sent.
     Unsent,
-    /// On its way to the guard, perhaps for long.
-    OnWay,
-    /// In the guard's queue.
-    Waiting,
-    /// At the target.
+    /// The attempt is in transit to the guard, for any length of time.
+    InTransit,
+    /// The attempt is in the guard's queue.
+    Queued,
+    /// The call runs at the target.
     Running,
-    /// Ended at the target.
-    Done,
-    /// Refused or handed back.
+    /// The call has completed at the target.
+    Completed,
+    /// The guard has refused the call or handed it back.
     Refused,
-    /// Lost on its way.
+    /// The attempt was lost in transit.
     Lost,
 }
 
-/// What the entry knows of an attempt.
+/// The outcome of an attempt as the entry knows it, or of the call as reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Known {
-    /// Nothing yet.
-    Nothing,
-    /// Proved *not run*.
+pub enum Outcome {
+    /// There is no outcome yet.
+    Pending,
+    /// The call is proved not to have run.
     NotRun,
-    /// *Unknown*.
+    /// It is unknown whether the call has run.
     Unknown,
-    /// Answered.
+    /// The call has been answered.
     Answered,
 }
 
 /// A state of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The attempts, one for each guard.
+    /// The progress of the attempt at each guard.
     pub attempts: [Attempt; GUARDS],
-    /// What the entry knows of each.
-    pub known: [Known; GUARDS],
-    /// Times the call took effect.
-    pub runs: u8,
-    /// What the caller was told.
-    pub told: Known,
+    /// The outcome of each attempt as the entry knows it.
+    pub known_outcomes: [Outcome; GUARDS],
+    /// Number of times that the call took effect.
+    pub executions: u8,
+    /// The outcome that was reported to the caller.
+    pub reported: Outcome,
 }
 
-/// The model with one rule left out.
+/// The model, with at most one rule left out.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptModel {
-    /// The rule.
-    pub weakness: Weakness,
+    /// The rule that is left out.
+    pub mutation: Mutation,
 }
 
 impl Model for AttemptModel {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             attempts: [Attempt::Unsent; GUARDS],
-            known: [Known::Nothing; GUARDS],
-            runs: 0,
-            told: Known::Nothing,
+            known_outcomes: [Outcome::Pending; GUARDS],
+            executions: 0,
+            reported: Outcome::Pending,
         }
     }
 
-    fn steps(&self, state: &State) -> Vec<State> {
+    fn next_states(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
         for guard in 0..GUARDS {
             self.attempt_steps(state, guard, &mut next);
             self.entry_steps(state, guard, &mut next);
         }
-        self.answer_steps(state, &mut next);
+        self.report_steps(state, &mut next);
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        if state.runs > 1 {
-            return Some("a call that may not be repeated took effect twice");
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
+        if state.executions > 1 {
+            return Some("a call that must not be repeated took effect twice");
         }
-        (state.told == Known::NotRun && state.runs > 0).then_some("told not run, but it ran")
+        (state.reported == Outcome::NotRun && state.executions > 0)
+            .then_some("reported as not run, but it ran")
     }
 }
 
 impl AttemptModel {
     fn attempt_steps(&self, state: &State, guard: usize, next: &mut Vec<State>) {
-        let mut go = |attempt: Attempt| {
+        let mut advance = |attempt: Attempt| {
             let mut after = state.clone();
             after.attempts[guard] = attempt;
             if attempt == Attempt::Running {
-                after.runs += 1;
+                after.executions += 1;
             }
             next.push(after);
         };
         match state.attempts[guard] {
-            Attempt::OnWay => {
-                go(Attempt::Waiting);
-                go(Attempt::Refused);
-                go(Attempt::Lost);
+            Attempt::InTransit => {
+                advance(Attempt::Queued);
+                advance(Attempt::Refused);
+                advance(Attempt::Lost);
             }
-            Attempt::Waiting => {
-                go(Attempt::Running);
-                go(Attempt::Refused);
+            Attempt::Queued => {
+                advance(Attempt::Running);
+                advance(Attempt::Refused);
             }
             Attempt::Running => {
-                go(Attempt::Done);
-                if self.weakness == Weakness::HandsBackRunning {
-                    go(Attempt::Refused);
+                advance(Attempt::Completed);
+                if self.mutation == Mutation::HandsBackRunning {
+                    advance(Attempt::Refused);
                 }
             }
-            Attempt::Unsent | Attempt::Done | Attempt::Refused | Attempt::Lost => {}
+            Attempt::Unsent | Attempt::Completed | Attempt::Refused | Attempt::Lost => {}
         }
     }
 
     fn entry_steps(&self, state: &State, guard: usize, next: &mut Vec<State>) {
-        if state.told != Known::Nothing {
+        if state.reported != Outcome::Pending {
             return;
         }
-        let mut learn = |known: Known| {
+        let mut record = |outcome: Outcome| {
             let mut after = state.clone();
-            after.known[guard] = known;
+            after.known_outcomes[guard] = outcome;
             next.push(after);
         };
         let attempt = state.attempts[guard];
-        if attempt != Attempt::Unsent && state.known[guard] == Known::Nothing {
+        if attempt != Attempt::Unsent && state.known_outcomes[guard] == Outcome::Pending {
             match attempt {
-                Attempt::Refused => learn(Known::NotRun),
-                Attempt::Done => learn(Known::Answered),
+                Attempt::Refused => record(Outcome::NotRun),
+                Attempt::Completed => record(Outcome::Answered),
                 _ => {}
             }
-            // A timeout, or a connection that breaks, at any instant.
-            let is_proof = self.weakness == Weakness::BrokenIsNotRun;
-            learn(if is_proof { Known::NotRun } else { Known::Unknown });
+            // The attempt may time out or lose its connection at any time.
+            let is_treated_as_not_run = self.mutation == Mutation::BrokenConnectionIsNotRun;
+            record(if is_treated_as_not_run { Outcome::NotRun } else { Outcome::Unknown });
         }
         if attempt == Attempt::Unsent && self.may_send(state, guard) {
             let mut after = state.clone();
-            after.attempts[guard] = Attempt::OnWay;
+            after.attempts[guard] = Attempt::InTransit;
             next.push(after);
         }
     }
 
-    /// The next attempt only after a proved *not run* of all before it.
+    /// Whether the entry may send the next attempt: only if all earlier ones are proved *not run*.
     fn may_send(&self, state: &State, guard: usize) -> bool {
-        let is_over = |known: &Known| match known {
-            Known::NotRun => true,
-            Known::Unknown => self.weakness == Weakness::RetryUnknown,
-            Known::Nothing | Known::Answered => false,
+        let allows_next = |outcome: &Outcome| match outcome {
+            Outcome::NotRun => true,
+            Outcome::Unknown => self.mutation == Mutation::RetriesUnknown,
+            Outcome::Pending | Outcome::Answered => false,
         };
-        state.known[..guard].iter().all(is_over)
+        state.known_outcomes[..guard].iter().all(allows_next)
     }
 
-    fn answer_steps(&self, state: &State, next: &mut Vec<State>) {
-        if state.told != Known::Nothing {
+    fn report_steps(&self, state: &State, next: &mut Vec<State>) {
+        if state.reported != Outcome::Pending {
             return;
         }
-        let mut tell = |told: Known| {
+        let mut report = |reported: Outcome| {
             let mut after = state.clone();
-            after.told = told;
+            after.reported = reported;
             next.push(after);
         };
-        if state.known.contains(&Known::Answered) {
-            tell(Known::Answered);
+        if state.known_outcomes.contains(&Outcome::Answered) {
+            report(Outcome::Answered);
             return;
         }
         let sent = (0..GUARDS).filter(|guard| state.attempts[*guard] != Attempt::Unsent);
-        let known = sent.map(|guard| state.known[guard]).collect::<Vec<_>>();
-        if known.contains(&Known::Nothing) {
+        let outcomes = sent.map(|guard| state.known_outcomes[guard]).collect::<Vec<_>>();
+        if outcomes.contains(&Outcome::Pending) {
             return;
         }
-        let is_unknown = known.contains(&Known::Unknown) && self.weakness != Weakness::ForgetsUnknown;
-        tell(if is_unknown { Known::Unknown } else { Known::NotRun });
+        let is_unknown =
+            outcomes.contains(&Outcome::Unknown) && self.mutation != Mutation::ReportsUnknownAsNotRun;
+        report(if is_unknown { Outcome::Unknown } else { Outcome::NotRun });
     }
 }
--- a/crates/laurelstall_spec/src/bin/laurelstall-spec.rs
+++ b/crates/laurelstall_spec/src/bin/laurelstall-spec.rs
@@ -1,54 +1,80 @@
-//! Explores all models, whole and weakened, and prints what was found.
+//! Explores every model, with all rules and with each rule left out, and prints the results.
 
 use laurelstall_spec::{
     attempts::{self, AttemptModel},
     quotas::{self, QuotaModel},
-    returns::{self, ReturnModel},
+    replication::{self, ReplicationModel},
+    restores::{self, RestoreModel},
     search::{Model, search},
-    spread::{self, SpreadModel},
     tickets::{self, TicketModel},
 };
 use std::{fmt::Debug, time::Instant};
 
 fn main() {
     use {
-        attempts::Weakness as A, quotas::Weakness as Q, returns::Weakness as R, spread::Weakness as S,
-        tickets::Weakness as T,
+        attempts::Mutation as AttemptMutation, quotas::Mutation as QuotaMutation,
+        replication::Mutation as ReplicationMutation, restores::Mutation as RestoreMutation,
+        tickets::Mutation as TicketMutation,
     };
-    for weakness in
-        [T::None, T::AnyIncarnation, T::NoLedger, T::NoVoid, T::TimeoutIsNotRun, T::ForgetsRunning]
-    {
-        show("tickets", &weakness, &TicketModel { weakness });
+    for mutation in [
+        TicketMutation::None,
+        TicketMutation::AcceptsAnyIncarnation,
+        TicketMutation::IgnoresLedger,
+        TicketMutation::RefusedNotVoided,
+        TicketMutation::TimeoutIsNotRun,
+        TicketMutation::RunningNotRecorded,
+    ] {
+        explore("tickets", &mutation, &TicketModel { mutation });
     }
-    for weakness in [A::None, A::RetryUnknown, A::BrokenIsNotRun, A::ForgetsUnknown, A::HandsBackRunning] {
-        show("attempts", &weakness, &AttemptModel { weakness });
+    for mutation in [
+        AttemptMutation::None,
+        AttemptMutation::RetriesUnknown,
+        AttemptMutation::BrokenConnectionIsNotRun,
+        AttemptMutation::ReportsUnknownAsNotRun,
+        AttemptMutation::HandsBackRunning,
+    ] {
+        explore("attempts", &mutation, &AttemptModel { mutation });
     }
-    for weakness in [Q::None, Q::NoHandover, Q::NoSilence, Q::FullAtStart] {
-        show("quotas", &weakness, &QuotaModel { weakness });
+    for mutation in [
+        QuotaMutation::None,
+        QuotaMutation::NoHandoverWait,
+        QuotaMutation::GrantsWithoutContact,
+        QuotaMutation::FullBucketAtStart,
+    ] {
+        explore("quotas", &mutation, &QuotaModel { mutation });
     }
-    for weakness in [
-        R::None,
-        R::KeepsRevision,
-        R::ComparesRevisions,
-        R::OrdersByRevision,
-        R::TakesCopysWord,
-        R::JoinsAlone,
+    for mutation in [
+        RestoreMutation::None,
+        RestoreMutation::IgnoresEraOnRead,
+        RestoreMutation::OrdersListsByRevision,
+        RestoreMutation::OrdersConfigurationsByRevision,
+        RestoreMutation::ForgetsLeaving,
+        RestoreMutation::JoinsWithoutSync,
     ] {
-        show("returns", &weakness, &ReturnModel { weakness });
+        explore("returns", &mutation, &RestoreModel { mutation });
     }
-    for weakness in [S::None, S::TakesAny, S::ServesBeforeAsking, S::NoExchange] {
-        show("spread", &weakness, &SpreadModel { weakness });
+    for mutation in [
+        ReplicationMutation::None,
+        ReplicationMutation::AcceptsAnyVersion,
+        ReplicationMutation::ServesBeforeSync,
+        ReplicationMutation::NoExchange,
+    ] {
+        explore("spread", &mutation, &ReplicationModel { mutation });
     }
 }
 
-fn show<M: Model>(name: &str, weakness: &impl Debug, model: &M) {
+/// Explores `model` and prints the result, labelled with the model's name and its mutation.
+fn explore<M: Model>(name: &str, mutation: &impl Debug, model: &M) {
     let started = Instant::now();
-    let found = search(model);
-    let took_ms = started.elapsed().as_millis();
-    match found.counterexample {
-        None => println!("{name} {weakness:?}: holds in all {} states, {took_ms} ms", found.states),
+    let result = search(model);
+    let elapsed_ms = started.elapsed().as_millis();
+    match result.counterexample {
+        None => println!("{name} {mutation:?}: holds in all {} states, {elapsed_ms} ms", result.state_count),
         Some((invariant, path)) => {
-            println!("{name} {weakness:?}: broken after {} steps: {invariant}, {took_ms} ms", path.len() - 1);
+            println!(
+                "{name} {mutation:?}: violated after {} steps: {invariant}, {elapsed_ms} ms",
+                path.len() - 1
+            );
         }
     }
 }
--- a/crates/laurelstall_spec/src/lib.rs
+++ b/crates/laurelstall_spec/src/lib.rs
@@ -1,26 +1,26 @@
-//! Model-checked specification of outcomes, tickets, quotas, the spreading of configuration and returns of the
-//! platform from older copies.
+//! Model-checked specifications of call outcomes, tickets, quotas, the replication of configuration and
+//! restores of the platform from older copies.
 //!
-//! Each model is a small state with its possible steps, explored breadth first until no state is
-//! new. A broken invariant is the goal of the search, so that a fault comes with its shortest
-//! history. Each rule of the design can be left out: a search that then finds nothing would
-//! prove nothing.
+//! Each model is a small state machine that is explored breadth first until no new state is reachable. A
+//! violated invariant is the goal of the search, so a counterexample is always a shortest path. To show
+//! that a model can detect faults, each rule of the design can be left out by a `Mutation`; the search
+//! must then find a counterexample.
 
 pub mod attempts;
 pub mod quotas;
-pub mod returns;
+pub mod replication;
+pub mod restores;
 pub mod search;
-pub mod spread;
 pub mod tickets;
 
-/// The types most callers need.
+/// The models and the search.
 pub mod prelude {
     pub use crate::{
         attempts::AttemptModel,
         quotas::QuotaModel,
-        returns::ReturnModel,
-        search::{Found, Model, search},
-        spread::SpreadModel,
+        replication::ReplicationModel,
+        restores::RestoreModel,
+        search::{Model, SearchResult, search},
         tickets::TicketModel,
     };
 }
--- a/crates/laurelstall_spec/src/quotas.rs
+++ b/crates/laurelstall_spec/src/quotas.rs
@@ -1,123 +1,129 @@
-//! One share of a quota whose ownership moves from one node to another while lists of hosts are late.
+//! One share of a quota whose ownership moves from one node to another while host lists arrive late.
 
 use crate::search::Model;
 
-/// Ticks that a history has.
-const TICKS: u8 = 9;
-/// Tokens that a bucket holds; one comes back with each tick.
-const SIZE: u8 = 2;
-/// Tokens that an owner has when its process starts.
-const START: u8 = 1;
-/// Ticks after which a node that is in touch has the list.
-const LIST_LAG: u8 = 2;
-/// Ticks without news after which an owner gives out nothing.
-const SILENCE_MAX: u8 = 2;
-/// Ticks that a new owner waits.
-const HANDOVER: u8 = 3;
-/// Tokens for which the bound leaves room when a new owner starts anew, and so does not wait: those of both owners
-/// together until the earlier one has stopped.
-const OVERLAP_ROOM: u8 = SILENCE_MAX + LIST_LAG;
-/// Restarts of either node.
+/// Number of ticks that are explored.
+const TICKS_MAX: u8 = 9;
+/// Capacity of the token bucket, in tokens; each tick adds one token.
+const BUCKET_SIZE: u8 = 2;
+/// Tokens in the bucket of an owner that has just started or taken over.
+const START_TOKENS: u8 = 1;
+/// Ticks after which a connected node has received a new host list at the latest.
+const LIST_DELAY_MAX: u8 = 2;
+/// Ticks without contact after which an owner grants no more tokens.
+const CONTACT_LOSS_MAX: u8 = 2;
+/// Ticks that a new owner waits before it grants tokens.
+const HANDOVER_WAIT: u8 = 3;
+/// Extra tokens that the bound allows for each restart of the new owner. A restart skips the handover
+/// wait, so both owners grant tokens until the earlier one stops.
+const OVERLAP_ALLOWANCE: u8 = CONTACT_LOSS_MAX + LIST_DELAY_MAX;
+/// Maximum number of restarts of each node.
 const RESTARTS_MAX: u8 = 1;
 
-/// A rule that can be left out.
+/// A deliberate fault in the design: one of its rules is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weakness {
-    /// None: the design as it is.
+pub enum Mutation {
+    /// No fault: the design as it is.
     None,
-    /// A new owner does not wait for the one before it.
-    NoHandover,
-    /// An owner that hears of nothing goes on.
-    NoSilence,
-    /// A bucket is full when its owner's process starts.
-    FullAtStart,
+    /// A new owner does not wait until the previous one has stopped.
+    NoHandoverWait,
+    /// An owner that has lost contact keeps granting tokens.
+    GrantsWithoutContact,
+    /// The bucket is full when its owner starts.
+    FullBucketAtStart,
 }
 
-/// A node as far as the share matters.
+/// The state of a node that matters to the share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Node {
-    /// Whether it has the list that moved the share.
+    /// Whether the node has the host list that moves the share.
     pub knows_move: bool,
-    /// Ticks since it heard of anything.
-    pub silent: u8,
-    /// Whether it is cut off.
-    pub is_cut: bool,
-    /// Tokens.
-    pub level: u8,
-    /// When it may give out tokens.
-    pub waits_until: u8,
-    /// Times it was started anew.
+    /// Ticks since the node last had contact, counted up to one above `CONTACT_LOSS_MAX`.
+    pub ticks_without_contact: u8,
+    /// Whether the node is partitioned from all others.
+    pub is_partitioned: bool,
+    /// Tokens in the node's bucket.
+    pub tokens: u8,
+    /// Tick from which the node may grant tokens.
+    pub grants_from: u8,
+    /// Number of times that the node was restarted.
     pub restarts: u8,
 }
 
 /// A state of the model: the first node owns the share before the move, the second one after it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The time.
+    /// The current time in ticks.
     pub tick: u8,
-    /// When the list moved the share.
+    /// Tick at which a new host list moved the share; `None` before that.
     pub moved_at: Option<u8>,
-    /// The nodes.
+    /// Both nodes: the first owns the share before the move, the second after it.
     pub nodes: [Node; 2],
-    /// Tokens given out.
+    /// Number of tokens granted by both nodes.
     pub granted: u8,
 }
 
-/// The model with one rule left out.
+/// The model, with at most one rule left out.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaModel {
-    /// The rule.
-    pub weakness: Weakness,
+    /// The rule that is left out.
+    pub mutation: Mutation,
 }
 
 impl Model for QuotaModel {
     type State = State;
 
-    fn start(&self) -> State {
-        let node =
-            Node { knows_move: false, silent: 0, is_cut: false, level: SIZE, waits_until: 0, restarts: 0 };
-        State { tick: 0, moved_at: None, nodes: [node, Node { level: 0, ..node }], granted: 0 }
+    fn initial_state(&self) -> State {
+        let node = Node {
+            knows_move: false,
+            ticks_without_contact: 0,
+            is_partitioned: false,
+            tokens: BUCKET_SIZE,
+            grants_from: 0,
+            restarts: 0,
+        };
+        State { tick: 0, moved_at: None, nodes: [node, Node { tokens: 0, ..node }], granted: 0 }
     }
 
-    fn steps(&self, state: &State) -> Vec<State> {
+    fn next_states(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
-        if state.tick < TICKS {
+        if state.tick < TICKS_MAX {
             next.push(self.after_tick(state));
         }
         if state.moved_at.is_none() {
             next.push(State { moved_at: Some(state.tick), ..state.clone() });
         }
         for index in 0..state.nodes.len() {
-            let mut with = |node: Node, granted: u8| {
+            let mut push = |node: Node, granted: u8| {
                 let mut after = state.clone();
                 after.nodes[index] = node;
                 after.granted += granted;
                 next.push(after);
             };
             let node = state.nodes[index];
-            if !node.is_cut {
-                with(Node { is_cut: true, ..node }, 0);
+            if !node.is_partitioned {
+                push(Node { is_partitioned: true, ..node }, 0);
             }
-            if state.moved_at.is_some() && !node.is_cut && !node.knows_move {
-                with(self.hears_move(index, node, state.tick), 0);
+            if state.moved_at.is_some() && !node.is_partitioned && !node.knows_move {
+                push(self.learn_move(index, node, state.tick), 0);
             }
             if node.restarts < RESTARTS_MAX {
-                with(self.started_anew(state, node), 0);
+                push(self.restarted(state, node), 0);
             }
             if self.may_grant(index, &node, state.tick) {
-                with(Node { level: node.level - 1, ..node }, 1);
+                push(Node { tokens: node.tokens - 1, ..node }, 1);
             }
         }
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
         let restarts = state.nodes.iter().map(|node| node.restarts).sum::<u8>();
-        // One handover gives a new bucket, which starts like one after a restart.
+        // A handover creates a new bucket, which starts with as many tokens as one after a restart.
         let handovers = u8::from(state.moved_at.is_some());
-        let overlap = if state.moved_at.is_some() { state.nodes[1].restarts * OVERLAP_ROOM } else { 0 };
-        let bound = SIZE + state.tick + (restarts + handovers) * START + overlap;
-        (state.granted > bound).then_some("more tokens were given out than the bound allows")
+        let overlap = if state.moved_at.is_some() { state.nodes[1].restarts * OVERLAP_ALLOWANCE } else { 0 };
+        let bound = BUCKET_SIZE + state.tick + (restarts + handovers) * START_TOKENS + overlap;
+        (state.granted > bound).then_some("more tokens were granted than the bound allows")
     }
 }
 
@@ -127,37 +133,50 @@
         let mut after = State { tick, ..state.clone() };
         for index in 0..after.nodes.len() {
             let node = &mut after.nodes[index];
-            node.silent = if node.is_cut { (node.silent + 1).min(SILENCE_MAX + 1) } else { 0 };
+            node.ticks_without_contact = if node.is_partitioned {
+                (node.ticks_without_contact + 1).min(CONTACT_LOSS_MAX + 1)
+            } else {
+                0
+            };
             let is_owner = node.knows_move == (index == 1);
-            if is_owner && tick > node.waits_until {
-                node.level = (node.level + 1).min(SIZE);
+            if is_owner && tick > node.grants_from {
+                node.tokens = (node.tokens + 1).min(BUCKET_SIZE);
             }
-            let is_list_there = state.moved_at.is_some_and(|moved_at| moved_at + LIST_LAG <= tick);
-            if is_list_there && !node.is_cut && !node.knows_move {
-                *node = self.hears_move(index, *node, tick);
+            let is_list_delivered = state.moved_at.is_some_and(|moved_at| moved_at + LIST_DELAY_MAX <= tick);
+            if is_list_delivered && !node.is_partitioned && !node.knows_move {
+                *node = self.learn_move(index, *node, tick);
             }
         }
         after
     }
 
-    fn hears_move(&self, index: usize, node: Node, tick: u8) -> Node {
-        let handover = if self.weakness == Weakness::NoHandover { 0 } else { HANDOVER };
-        let waits_until = if index == 1 { tick + handover } else { node.waits_until };
-        let level = if index == 1 { START } else { node.level };
-        Node { knows_move: true, waits_until, level, ..node }
+    fn learn_move(&self, index: usize, node: Node, tick: u8) -> Node {
+        let wait = if self.mutation == Mutation::NoHandoverWait { 0 } else { HANDOVER_WAIT };
+        let grants_from = if index == 1 { tick + wait } else { node.grants_from };
+        let tokens = if index == 1 { START_TOKENS } else { node.tokens };
+        Node { knows_move: true, grants_from, tokens, ..node }
     }
 
-    /// A process that starts reads the list; one that is cut off stays without any.
-    fn started_anew(&self, state: &State, node: Node) -> Node {
-        let level = if self.weakness == Weakness::FullAtStart { SIZE } else { START };
-        let silent = if node.is_cut { SILENCE_MAX + 1 } else { 0 };
-        let knows_move = state.moved_at.is_some() && !node.is_cut || node.knows_move;
-        Node { level, silent, knows_move, waits_until: 0, restarts: node.restarts + 1, ..node }
+    /// Restarts a node. It reads the newest host list if it is connected; a partitioned one has no
+    /// contact.
+    fn restarted(&self, state: &State, node: Node) -> Node {
+        let tokens = if self.mutation == Mutation::FullBucketAtStart { BUCKET_SIZE } else { START_TOKENS };
+        let ticks_without_contact = if node.is_partitioned { CONTACT_LOSS_MAX + 1 } else { 0 };
+        let knows_move = state.moved_at.is_some() && !node.is_partitioned || node.knows_move;
+        Node {
+            tokens,
+            ticks_without_contact,
+            knows_move,
+            grants_from: 0,
+            restarts: node.restarts + 1,
+            ..node
+        }
     }
 
     fn may_grant(&self, index: usize, node: &Node, tick: u8) -> bool {
         let is_owner = node.knows_move == (index == 1);
-        let is_in_touch = node.silent <= SILENCE_MAX || self.weakness == Weakness::NoSilence;
-        is_owner && is_in_touch && tick >= node.waits_until && node.level > 0
+        let is_connected =
+            node.ticks_without_contact <= CONTACT_LOSS_MAX || self.mutation == Mutation::GrantsWithoutContact;
+        is_owner && is_connected && tick >= node.grants_from && node.tokens > 0
     }
 }
--- a/crates/laurelstall_spec/src/tickets.rs
+++ b/crates/laurelstall_spec/src/tickets.rs
@@ -1,190 +1,195 @@
-//! Tickets and the ledger: a call that may not be repeated, sent several times by its caller.
+//! Tickets and the guard's ledger: a caller sends the same call several times with one ticket, and the call
+//! must run at most once.
 //!
-//! Messages to the guard may be late, doubled or lost; the guard may restart, drain or refuse;
-//! the entry may give up at any instant.
+//! Messages to the guard may be delayed, duplicated or lost; the guard may restart, drain or refuse calls;
+//! the entry node may give up at any time.
 
 use crate::search::Model;
 
-/// Times the caller sends its call.
+/// Number of times that the caller sends its call.
 const SENDS: usize = 3;
-/// Restarts of the guard.
+/// Maximum number of restarts of the guard.
 const RESTARTS_MAX: u8 = 2;
-/// Copies of each message that the network may deliver.
+/// Maximum number of copies of each message that the network delivers.
 const COPIES: u8 = 2;
 
-/// A rule that can be left out.
+/// A deliberate fault in the design: one of its rules is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weakness {
-    /// None: the design as it is.
+pub enum Mutation {
+    /// No fault: the design as it is.
     None,
-    /// The guard runs tickets of an earlier start of its own.
-    AnyIncarnation,
-    /// The guard runs a ticket again that it has a record of.
-    NoLedger,
-    /// A refused ticket is not voided, and may run when a late copy comes.
-    NoVoid,
-    /// The entry says *not run* when it gave up waiting.
+    /// The guard accepts tickets that an earlier incarnation of it issued.
+    AcceptsAnyIncarnation,
+    /// The guard ignores its ledger and runs a ticket again.
+    IgnoresLedger,
+    /// A refused ticket is not voided and may run when a delayed copy arrives.
+    RefusedNotVoided,
+    /// The entry reports *not run* when it gives up waiting.
     TimeoutIsNotRun,
-    /// The guard forgets the ticket while its call runs.
-    ForgetsRunning,
+    /// The guard does not record that the ticket's call runs.
+    RunningNotRecorded,
 }
 
-/// What the ledger says of the ticket.
+/// The ledger's entry for the ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Entry {
-    /// Not used.
-    New,
-    /// Its call runs.
+pub enum LedgerEntry {
+    /// The ticket has not been used.
+    Unused,
+    /// The ticket's call runs.
     Running,
-    /// Its call was answered.
+    /// The ticket's call has been answered.
     Answered,
-    /// Nobody knows.
-    Spent,
-    /// It was refused and never runs.
+    /// The ticket's call has ended and its outcome is unknown.
+    OutcomeUnknown,
+    /// The ticket was refused, and its call never runs.
     Void,
 }
 
-/// What the caller was told about one sending.
+/// The outcome that was reported to the caller for one transmission of its call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Told {
-    /// Nothing yet, or it was not sent.
-    Nothing,
-    /// The answer.
+pub enum Outcome {
+    /// No outcome has been reported, or the call was not sent.
+    Pending,
+    /// The call was answered.
     Answered,
-    /// *Not run*.
+    /// The call has not run.
     NotRun,
-    /// *Unknown*.
+    /// It is unknown whether the call has run.
     Unknown,
 }
 
 /// A state of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Starts of the guard so far; the ticket is of the first.
+    /// Number of restarts of the guard; the ticket was issued by incarnation 0.
     pub incarnation: u8,
-    /// The ledger's entry.
-    pub entry: Entry,
-    /// Times the call took effect.
-    pub runs: u8,
-    /// Whether the guard drains.
+    /// The ledger's entry for the ticket.
+    pub ledger_entry: LedgerEntry,
+    /// Number of times that the call took effect.
+    pub executions: u8,
+    /// Whether the guard is draining.
     pub is_draining: bool,
-    /// Copies of each sending that are still on their way.
-    pub on_way: [u8; SENDS],
-    /// Whether each sending was made.
+    /// Number of copies of each transmission that are in transit.
+    pub in_transit: [u8; SENDS],
+    /// Whether each transmission was sent.
     pub was_sent: [bool; SENDS],
-    /// What the caller was told about each.
-    pub told: [Told; SENDS],
+    /// The outcome that was reported to the caller for each transmission.
+    pub reported: [Outcome; SENDS],
 }
 
-/// The model with one rule left out.
+/// The model, with at most one rule left out.
 #[derive(Debug, Clone, Copy)]
 pub struct TicketModel {
-    /// The rule.
-    pub weakness: Weakness,
+    /// The rule that is left out.
+    pub mutation: Mutation,
 }
 
 impl Model for TicketModel {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             incarnation: 0,
-            entry: Entry::New,
-            runs: 0,
+            ledger_entry: LedgerEntry::Unused,
+            executions: 0,
             is_draining: false,
-            on_way: [0; SENDS],
+            in_transit: [0; SENDS],
             was_sent: [false; SENDS],
-            told: [Told::Nothing; SENDS],
+            reported: [Outcome::Pending; SENDS],
         }
     }
 
-    fn steps(&self, state: &State) -> Vec<State> {
+    fn next_states(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
         for send in 0..SENDS {
             self.caller_steps(state, send, &mut next);
-            if state.on_way[send] > 0 {
-                next.push(lost(state, send));
-                self.arrivals(state, send, &mut next);
+            if state.in_transit[send] > 0 {
+                next.push(remove_copy(state, send));
+                self.arrival_steps(state, send, &mut next);
             }
         }
         self.guard_steps(state, &mut next);
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        if state.runs > 1 {
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
+        if state.executions > 1 {
             return Some("a ticket's call took effect twice");
         }
-        let was_told = state.told.contains(&Told::NotRun);
-        (was_told && state.runs > 0).then_some("told not run, but it ran")
+        let is_reported_not_run = state.reported.contains(&Outcome::NotRun);
+        (is_reported_not_run && state.executions > 0).then_some("reported as not run, but it ran")
     }
 }
 
 impl TicketModel {
     fn caller_steps(&self, state: &State, send: usize, next: &mut Vec<State>) {
-        let is_next = send == 0 || state.was_sent[send - 1];
-        if !state.was_sent[send] && is_next {
+        let is_previous_sent = send == 0 || state.was_sent[send - 1];
+        if !state.was_sent[send] && is_previous_sent {
             let mut sent = state.clone();
             sent.was_sent[send] = true;
-            sent.on_way[send] = COPIES;
+            sent.in_transit[send] = COPIES;
             next.push(sent);
         }
-        let is_waiting = state.was_sent[send] && state.told[send] == Told::Nothing;
+        let is_waiting = state.was_sent[send] && state.reported[send] == Outcome::Pending;
         if is_waiting {
-            let mut gave_up = state.clone();
-            gave_up.told[send] =
-                if self.weakness == Weakness::TimeoutIsNotRun { Told::NotRun } else { Told::Unknown };
-            next.push(gave_up);
+            let mut given_up = state.clone();
+            given_up.reported[send] =
+                if self.mutation == Mutation::TimeoutIsNotRun { Outcome::NotRun } else { Outcome::Unknown };
+            next.push(given_up);
         }
     }
 
-    /// A copy reaches the guard, which runs it or says why not.
-    fn arrivals(&self, state: &State, send: usize, next: &mut Vec<State>) {
-        let arrived = lost(state, send);
-        let is_own = state.incarnation == 0 || self.weakness == Weakness::AnyIncarnation;
-        if !is_own {
-            next.push(tell(&arrived, send, Told::Unknown));
+    /// Delivers a copy to the guard, which runs the call or reports an outcome.
+    fn arrival_steps(&self, state: &State, send: usize, next: &mut Vec<State>) {
+        let arrived = remove_copy(state, send);
+        let is_accepted = state.incarnation == 0 || self.mutation == Mutation::AcceptsAnyIncarnation;
+        if !is_accepted {
+            next.push(report(&arrived, send, Outcome::Unknown));
             return;
         }
-        let entry = if self.weakness == Weakness::NoLedger { Entry::New } else { state.entry };
-        match entry {
-            Entry::New => {
+        let ledger_entry =
+            if self.mutation == Mutation::IgnoresLedger { LedgerEntry::Unused } else { state.ledger_entry };
+        match ledger_entry {
+            LedgerEntry::Unused => {
                 next.push(self.refuse(&arrived, send));
                 if !state.is_draining {
                     let mut running = arrived;
-                    running.entry =
-                        if self.weakness == Weakness::ForgetsRunning { Entry::New } else { Entry::Running };
-                    running.runs += 1;
+                    running.ledger_entry = if self.mutation == Mutation::RunningNotRecorded {
+                        LedgerEntry::Unused
+                    } else {
+                        LedgerEntry::Running
+                    };
+                    running.executions += 1;
                     next.push(running);
                 }
             }
-            Entry::Running => next.push(tell(&arrived, send, Told::Unknown)),
-            Entry::Answered => next.push(tell(&arrived, send, Told::Answered)),
-            Entry::Spent => next.push(tell(&arrived, send, Told::Unknown)),
-            Entry::Void => next.push(tell(&arrived, send, Told::NotRun)),
+            LedgerEntry::Running => next.push(report(&arrived, send, Outcome::Unknown)),
+            LedgerEntry::Answered => next.push(report(&arrived, send, Outcome::Answered)),
+            LedgerEntry::OutcomeUnknown => next.push(report(&arrived, send, Outcome::Unknown)),
+            LedgerEntry::Void => next.push(report(&arrived, send, Outcome::NotRun)),
         }
     }
 
     fn refuse(&self, state: &State, send: usize) -> State {
-        let mut refused = tell(state, send, Told::NotRun);
-        if self.weakness != Weakness::NoVoid {
-            refused.entry = Entry::Void;
+        let mut refused = report(state, send, Outcome::NotRun);
+        if self.mutation != Mutation::RefusedNotVoided {
+            refused.ledger_entry = LedgerEntry::Void;
         }
         refused
     }
 
     fn guard_steps(&self, state: &State, next: &mut Vec<State>) {
-        if state.entry == Entry::Running {
-            for ended in [Entry::Answered, Entry::Spent] {
+        if state.ledger_entry == LedgerEntry::Running {
+            for ended in [LedgerEntry::Answered, LedgerEntry::OutcomeUnknown] {
                 let mut after = state.clone();
-                after.entry = ended;
+                after.ledger_entry = ended;
                 next.push(after);
             }
         }
         if state.incarnation < RESTARTS_MAX {
             let mut restarted = state.clone();
             restarted.incarnation += 1;
-            restarted.entry = Entry::New;
+            restarted.ledger_entry = LedgerEntry::Unused;
             restarted.is_draining = false;
             next.push(restarted);
         }
@@ -196,17 +201,17 @@
     }
 }
 
-fn lost(state: &State, send: usize) -> State {
+fn remove_copy(state: &State, send: usize) -> State {
     let mut after = state.clone();
-    after.on_way[send] -= 1;
+    after.in_transit[send] -= 1;
     after
 }
 
-/// Tells the caller, unless it gave up on this sending before.
-fn tell(state: &State, send: usize, told: Told) -> State {
+/// Reports an outcome to the caller, unless one was already reported for this transmission.
+fn report(state: &State, send: usize, outcome: Outcome) -> State {
     let mut after = state.clone();
-    if after.told[send] == Told::Nothing {
-        after.told[send] = told;
+    if after.reported[send] == Outcome::Pending {
+        after.reported[send] = outcome;
     }
     after
 }
--- a/crates/laurelstall_spec/tests/models.rs
+++ b/crates/laurelstall_spec/tests/models.rs
@@ -1,102 +1,117 @@
-//! The design holds in all states; without any one of its rules, the search finds the fault.
+//! Checks that each model holds in all states, and that the search finds a counterexample when any rule is
+//! left out.
 
 use laurelstall_spec::{
     attempts::{self, AttemptModel},
     quotas::{self, QuotaModel},
-    returns::{self, ReturnModel},
+    replication::{self, ReplicationModel},
+    restores::{self, RestoreModel},
     search::{Model, search},
-    spread::{self, SpreadModel},
     tickets::{self, TicketModel},
 };
 
-fn holds<M: Model>(model: &M, states_min: usize) {
-    let found = search(model);
-    assert_eq!(found.counterexample, None);
-    assert!(found.states >= states_min, "only {} states were explored", found.states);
+fn assert_holds<M: Model>(model: &M, states_min: usize) {
+    let result = search(model);
+    assert_eq!(result.counterexample, None);
+    assert!(result.state_count >= states_min, "only {} states were explored", result.state_count);
 }
 
-fn breaks<M: Model>(model: &M, invariant: &str) {
-    let found = search(model).counterexample.map(|(invariant, _)| invariant);
-    assert_eq!(found, Some(invariant));
+fn assert_violates<M: Model>(model: &M, invariant: &str) {
+    let violated = search(model).counterexample.map(|(invariant, _)| invariant);
+    assert_eq!(violated, Some(invariant));
 }
 
 #[test]
 fn tickets_hold() {
-    holds(&TicketModel { weakness: tickets::Weakness::None }, 1_000);
+    assert_holds(&TicketModel { mutation: tickets::Mutation::None }, 1_000);
 }
 
 #[test]
 fn tickets_break_without_each_rule() {
-    use tickets::Weakness as W;
-    for weakness in [W::AnyIncarnation, W::NoLedger, W::NoVoid, W::TimeoutIsNotRun, W::ForgetsRunning] {
-        breaks(&TicketModel { weakness }, "told not run, but it ran");
+    use tickets::Mutation;
+    for mutation in [
+        Mutation::AcceptsAnyIncarnation,
+        Mutation::IgnoresLedger,
+        Mutation::RefusedNotVoided,
+        Mutation::TimeoutIsNotRun,
+        Mutation::RunningNotRecorded,
+    ] {
+        assert_violates(&TicketModel { mutation }, "reported as not run, but it ran");
     }
 }
 
 #[test]
 fn attempts_hold() {
-    holds(&AttemptModel { weakness: attempts::Weakness::None }, 60);
+    assert_holds(&AttemptModel { mutation: attempts::Mutation::None }, 60);
 }
 
 #[test]
 fn attempts_break_without_each_rule() {
-    use attempts::Weakness as W;
-    breaks(&AttemptModel { weakness: W::RetryUnknown }, "a call that may not be repeated took effect twice");
-    for weakness in [W::BrokenIsNotRun, W::ForgetsUnknown, W::HandsBackRunning] {
-        breaks(&AttemptModel { weakness }, "told not run, but it ran");
+    use attempts::Mutation;
+    assert_violates(
+        &AttemptModel { mutation: Mutation::RetriesUnknown },
+        "a call that must not be repeated took effect twice",
+    );
+    for mutation in
+        [Mutation::BrokenConnectionIsNotRun, Mutation::ReportsUnknownAsNotRun, Mutation::HandsBackRunning]
+    {
+        assert_violates(&AttemptModel { mutation }, "reported as not run, but it ran");
     }
 }
 
 #[test]
-fn spread_holds() {
-    holds(&SpreadModel { weakness: spread::Weakness::None }, 1_000);
+fn replication_holds() {
+    assert_holds(&ReplicationModel { mutation: replication::Mutation::None }, 1_000);
 }
 
 #[test]
-fn spread_breaks_without_each_rule() {
-    use spread::Weakness as W;
-    for weakness in [W::TakesAny, W::ServesBeforeAsking] {
-        breaks(&SpreadModel { weakness }, "a node went back to an older version");
+fn replication_breaks_without_each_rule() {
+    use replication::Mutation;
+    for mutation in [Mutation::AcceptsAnyVersion, Mutation::ServesBeforeSync] {
+        assert_violates(&ReplicationModel { mutation }, "a node went back to an older version");
     }
-    breaks(&SpreadModel { weakness: W::NoExchange }, "nodes that reach each other stay apart");
+    assert_violates(&ReplicationModel { mutation: Mutation::NoExchange }, "connected nodes do not converge");
 }
 
 #[test]
 fn quotas_hold() {
-    holds(&QuotaModel { weakness: quotas::Weakness::None }, 1_000);
+    assert_holds(&QuotaModel { mutation: quotas::Mutation::None }, 1_000);
 }
 
 #[test]
 fn quotas_break_without_each_rule() {
-    use quotas::Weakness as W;
-    for weakness in [W::NoHandover, W::NoSilence, W::FullAtStart] {
-        breaks(&QuotaModel { weakness }, "more tokens were given out than the bound allows");
+    use quotas::Mutation;
+    for mutation in [Mutation::NoHandoverWait, Mutation::GrantsWithoutContact, Mutation::FullBucketAtStart] {
+        assert_violates(&QuotaModel { mutation }, "more tokens were granted than the bound allows");
     }
 }
 
 #[test]
-fn returns_hold() {
-    holds(&ReturnModel { weakness: returns::Weakness::None }, 1_000);
+fn restores_hold() {
+    assert_holds(&RestoreModel { mutation: restores::Mutation::None }, 1_000);
 }
 
 #[test]
-fn returns_break_without_each_rule() {
-    use returns::Weakness as W;
-    breaks(
-        &ReturnModel { weakness: W::OrdersByRevision },
-        "a configuration that was written again is not in force",
+fn restores_break_without_each_rule() {
+    use restores::Mutation;
+    assert_violates(
+        &RestoreModel { mutation: Mutation::OrdersConfigurationsByRevision },
+        "a configuration that was written again is not in effect",
+    );
+    assert_violates(
+        &RestoreModel { mutation: Mutation::IgnoresEraOnRead },
+        "a configuration that was written again is not in effect",
     );
-    breaks(
-        &ReturnModel { weakness: W::KeepsRevision },
-        "a configuration that was written again is not in force",
+    assert_violates(
+        &RestoreModel { mutation: Mutation::ForgetsLeaving },
+        "a target that announced that it leaves is in service again",
     );
-    breaks(&ReturnModel { weakness: W::TakesCopysWord }, "a target that said it leaves is in service again");
-    breaks(
-        &ReturnModel { weakness: W::JoinsAlone },
-        "a node serves by an older configuration than others hold",
+    assert_violates(
+        &RestoreModel { mutation: Mutation::JoinsWithoutSync },
+        "a node serves with an older configuration than its peers hold",
     );
-    breaks(
-        &ReturnModel { weakness: W::ComparesRevisions },
-        "nodes that have read the store hold another list",
+    assert_violates(
+        &RestoreModel { mutation: Mutation::OrdersListsByRevision },
+        "nodes that have read the store hold a different list",
     );
 }
