--- a/crates/laurelstall_config/examples/list_cost.rs
+++ b/crates/laurelstall_config/examples/list_cost.rs
@@ -1,4 +1,4 @@
-//! What a change of the list of hosts costs a node, over sizes of the fleet and forms of the list.
+//! Measures the processor time that a node needs for a changed fleet document, by number of hosts and text format.
 
 use laurelstall_config::{
     configuration::{Checked, Configuration},
@@ -15,21 +15,21 @@
 const SIZES: [usize; 5] = [30, 100, 300, 1_000, 2_000];
 const SERVICES: usize = 4;
 const DATA_CENTRES: usize = 5;
-/// Runs of which the shortest counts: the others were disturbed.
+/// Number of runs, of which the shortest is reported.
 const RUNS: usize = 10;
 
 fn main() {
     println!("{:>6} {:>5} {:>8} {:>10} {:>10} {:>10}", "hosts", "form", "bytes", "write", "read", "index");
     for hosts in SIZES {
         let fleet = fleet(hosts);
-        show(hosts, "toml", || toml::to_string(&fleet).expect("it is a document"));
-        show(hosts, "json", || serde_json::to_string(&fleet).expect("it is a document"));
+        show(hosts, "toml", || toml::to_string(&fleet).expect("a fleet can be serialized"));
+        show(hosts, "json", || serde_json::to_string(&fleet).expect("a fleet can be serialized"));
     }
 }
 
 fn show(hosts: usize, form: &str, write: impl Fn() -> String) {
     let document = Document { name: DocumentName::Fleet, version: Version::new(1), text: write() };
-    let checked = Checked::from_document(&document).expect("it is right");
+    let checked = Checked::from_document(&document).expect("it is valid");
     let before = configuration();
     let wrote = shortest(|| drop(black_box(write())));
     let read = shortest(|| drop(black_box(Checked::from_document(&document))));
--- a/crates/laurelstall_config/src/configuration.rs
+++ b/crates/laurelstall_config/src/configuration.rs
@@ -1,4 +1,4 @@
-//! All accepted documents together, as one value that is swapped whole.
+//! The accepted documents, combined into one immutable value.
 
 use crate::{
     document::{Document, DocumentName, Version},
@@ -13,23 +13,23 @@
     sync::Arc,
 };
 
-/// A document that was read and checked.
+/// A parsed and valid document.
 #[derive(Debug, Clone)]
 pub enum Checked {
-    /// The hosts.
+    /// The list of hosts.
     Fleet(Arc<Fleet>),
-    /// The system's limits.
+    /// The limits of the whole system.
     System(SystemLimits),
-    /// One team.
+    /// A team's document.
     Team(Box<Team>),
 }
 
 impl Checked {
-    /// Reads and checks a document.
+    /// Parses and checks a document.
     ///
     /// # Errors
     ///
-    /// All faults found in it.
+    /// Returns all problems found in the document.
     pub fn from_document(document: &Document) -> Result<Self, ConfigError> {
         let file = document.name.to_string();
         let text = &document.text;
@@ -39,7 +39,8 @@
             DocumentName::Team(name) => {
                 let team = Team::from_text(&file, text)?;
                 let mut check = crate::problem::Checker::new(&file, text);
-                let message = format!("says '{}' in the document of '{name}'", team.team);
+                let message =
+                    format!("'{}' must be '{name}', for which the document is published", team.team);
                 check.ensure(&team.team == name, "team", &message);
                 check.finish()?;
                 Ok(Self::Team(Box::new(team)))
@@ -48,35 +49,36 @@
     }
 }
 
-/// The configuration in force.
+/// The configuration that is in effect, with indexes for the look-ups that each call needs.
 #[derive(Debug, Clone, Default)]
 pub struct Configuration {
-    /// The hosts.
+    /// The list of hosts.
     pub fleet: Arc<Fleet>,
-    /// The system's limits.
+    /// The limits of the whole system.
     pub system: Arc<SystemLimits>,
-    /// The teams by name.
+    /// The teams' documents by team name.
     pub teams: BTreeMap<String, Arc<Team>>,
-    /// The version of each document in force.
+    /// The version of each document that is in effect.
     pub versions: BTreeMap<DocumentName, Version>,
+    /// The name of the team to which each host name of callers belongs.
     team_by_caller_host: HashMap<String, String>,
-    /// The route table of each team.
+    /// The route table of each team, by team name.
     routes: BTreeMap<String, Arc<RouteTable>>,
-    /// Places of the hosts in the fleet's list, by name.
-    host_places: Arc<HashMap<String, usize>>,
-    /// All services by full name, with the targets of the team's document and of the fleet.
+    /// Index of each host in `fleet.hosts`, by host name.
+    host_indexes: Arc<HashMap<String, usize>>,
+    /// All services by full name, with the targets of the team's document and of the fleet document.
     services: BTreeMap<String, Arc<Service>>,
 }
 
 impl Configuration {
-    /// This configuration with one more document in force.
+    /// Returns a copy of this configuration in which a document is added or replaced.
     pub fn with_document(&self, name: &DocumentName, version: Version, checked: Checked) -> Self {
         let mut next = self.clone();
         next.versions.insert(name.clone(), version);
         match checked {
             Checked::Fleet(fleet) => {
-                let places = fleet.hosts.iter().enumerate().map(|(place, host)| (host.name.clone(), place));
-                next.host_places = Arc::new(places.collect());
+                let indexes = fleet.hosts.iter().enumerate().map(|(index, host)| (host.name.clone(), index));
+                next.host_indexes = Arc::new(indexes.collect());
                 next.fleet = fleet;
                 next.index_services();
             }
@@ -92,48 +94,45 @@
         next
     }
 
-    /// The version in force of a document; [`Version::NONE`] when there is none.
+    /// Returns the version of a document that is in effect; [`Version::NONE`] if there is none.
     pub fn version(&self, name: &DocumentName) -> Version {
         self.versions.get(name).copied().unwrap_or_default()
     }
 
-    /// The host called `name`, found in a time that does not depend on the size of the fleet.
-    ///
-    /// Each service looks up the host of each of its targets when the list changes. With a thousand hosts, putting a list
-    /// in force and looking all up takes 0.65 ms, and 2.1 ms when each look-up reads the list from its start
-    /// (`examples/list_cost.rs`); with two thousand, 1.4 ms and 7 ms.
+    /// Looks up a host by name in constant time: whenever the list changes, each service looks up the host of each of its
+    /// targets.
     pub fn host(&self, name: &str) -> Option<&Host> {
-        self.fleet.hosts.get(*self.host_places.get(name)?)
+        self.fleet.hosts.get(*self.host_indexes.get(name)?)
     }
 
-    /// The team whose callers use this host name.
+    /// Returns the team whose callers use this host name.
     pub fn team_of_caller_host(&self, host: &str) -> Option<&Arc<Team>> {
         self.teams.get(self.team_by_caller_host.get(host)?)
     }
 
-    /// The route table of a team.
+    /// Returns the route table of a team.
     pub fn routes(&self, team: &str) -> Option<&RouteTable> {
         self.routes.get(team).map(Arc::as_ref)
     }
 
-    /// The service with this full name, `team/service`.
+    /// Returns the service with this full name, `team/service`.
     pub fn service(&self, full_name: &str) -> Option<&Service> {
         self.services.get(full_name).map(Arc::as_ref)
     }
 
-    /// All services with their full names.
+    /// Iterates over all services and their full names.
     pub fn services(&self) -> impl Iterator<Item = (String, &Service)> {
         self.services.iter().map(|(name, service)| (name.clone(), service.as_ref()))
     }
 
-    /// Host names claimed by more than one team: name, team that holds it, team that lost it.
+    /// Returns the host names that more than one team claims, each as (host name, team that gets it, team that does not).
     ///
-    /// The team whose name sorts first holds the name, so every node decides alike.
+    /// The team whose name sorts first gets the host name, so that all nodes decide alike.
     pub fn caller_host_conflicts(&self) -> Vec<(String, String, String)> {
         let claims = self.teams.values().flat_map(|t| t.caller_hosts.iter().map(move |h| (h, t)));
         let conflict = |(host, team): (&String, &Arc<Team>)| {
-            let holder = self.team_by_caller_host.get(host)?;
-            (holder != &team.team).then(|| (host.clone(), holder.clone(), team.team.clone()))
+            let owner = self.team_by_caller_host.get(host)?;
+            (owner != &team.team).then(|| (host.clone(), owner.clone(), team.team.clone()))
         };
         claims.filter_map(conflict).collect()
     }
@@ -143,19 +142,19 @@
         for team in self.teams.values() {
             let route_hosts = team.routes.iter().map(|route| &route.host);
             for host in team.caller_hosts.iter().chain(route_hosts) {
-                let holder = self.team_by_caller_host.entry(host.to_ascii_lowercase());
-                holder.or_insert_with(|| team.team.clone());
+                let owner = self.team_by_caller_host.entry(host.to_ascii_lowercase());
+                owner.or_insert_with(|| team.team.clone());
             }
         }
     }
 
     fn index_services(&mut self) {
-        let of_team = |team: &Arc<Team>| {
+        let team_services = |team: &Arc<Team>| {
             let prefix = team.team.clone();
             let services = team.services.iter().cloned();
             services.map(move |service| (format!("{prefix}/{}", service.name), service)).collect::<Vec<_>>()
         };
-        let mut services = self.teams.values().flat_map(of_team).collect::<BTreeMap<_, _>>();
+        let mut services = self.teams.values().flat_map(team_services).collect::<BTreeMap<_, _>>();
         for listed in &self.fleet.targets {
             let Some(service) = services.get_mut(&listed.service) else { continue };
             let name = listed.name.clone();
--- a/crates/laurelstall_config/src/document.rs
+++ b/crates/laurelstall_config/src/document.rs
@@ -1,41 +1,40 @@
-//! Documents as the platform publishes them.
+//! Names, versions and texts of the documents that the platform publishes.
 
 use crate::problem::is_name;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest text of a document in bytes: the platform holds no larger value.
+/// Maximum size of a document's text in bytes, which is the platform's limit for a value.
 pub const DOCUMENT_BYTES_MAX: usize = 1_000_000;
 
-/// Most documents a node holds; more are refused.
+/// Maximum number of documents that a node stores; it rejects further ones.
 pub const DOCUMENTS_MAX: usize = 256;
 
-/// A document's version; it only grows.
+/// A document's version; each change of the document gets a higher one.
 ///
-/// A platform that comes back from an older copy of itself gives its numbers out again, in the next era: a version of a
-/// later era is newer, whatever its number.
+/// A platform that is restored from an older copy assigns its numbers again, in the next era: a version of a later era
+/// is newer, regardless of its number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// How often the platform that counts the number had come back from an older copy; 0 for numbers that go on all the
-    /// same.
+    /// Number of times that the platform was restored from an older copy; 0 for numbers that a restore does not reset.
     pub era: u64,
     /// The number within the era.
     pub number: u64,
 }
 
 impl Version {
-    /// No version: below all that are published.
+    /// No version; lower than all published versions.
     pub const NONE: Self = Self { era: 0, number: 0 };
-    /// Above all versions that are published.
+    /// Higher than all published versions.
     pub const MAX: Self = Self { era: u64::MAX, number: u64::MAX };
 
-    /// The version with this number where numbers never go back.
+    /// Creates a version whose number is never reset.
     pub fn new(number: u64) -> Self {
         Self { era: 0, number }
     }
 
-    /// The version with this number in an era of the platform.
+    /// Creates a version with this number in an era of the platform.
     pub fn in_era(era: u64, number: u64) -> Self {
         Self { era, number }
     }
@@ -50,19 +49,19 @@
     }
 }
 
-/// Which document.
+/// The name of a document.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DocumentName {
-    /// The live and leaving hosts.
+    /// The list of live and leaving hosts.
     Fleet,
-    /// Limits that hold for the whole system.
+    /// The limits of the whole system.
     System,
-    /// One team's services, targets and program.
+    /// The services, targets and routing program of the team with this name.
     Team(String),
 }
 
 impl DocumentName {
-    /// Reads a name as the platform writes it: `fleet`, `system` or `team/NAME`.
+    /// Parses a name as the platform writes it: `fleet`, `system` or `team/NAME`; `None` for any other text.
     pub fn from_key(key: &str) -> Option<Self> {
         match key {
             "fleet" => Some(Self::Fleet),
@@ -85,19 +84,19 @@
     }
 }
 
-/// One published text with its version.
+/// A published document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Which document this is.
+    /// The document's name.
     pub name: DocumentName,
-    /// Its version.
+    /// The document's version.
     pub version: Version,
-    /// Its TOML text.
+    /// The document's TOML or JSON text.
     pub text: String,
 }
 
 impl Document {
-    /// A checksum of the text, to tell whether a delta met the text it was made against.
+    /// Computes a checksum of the text, by which a receiver checks that it applied a delta to the right base.
     pub fn checksum(&self) -> u64 {
         xxh3_64(self.text.as_bytes())
     }
--- a/crates/laurelstall_config/src/fleet.rs
+++ b/crates/laurelstall_config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts.
+//! The fleet document: the platform's list of live and leaving hosts.
 
 use crate::{
     problem::{Checker, ConfigError, is_name},
@@ -10,24 +10,24 @@
     net::{IpAddr, SocketAddr},
 };
 
-/// Most hosts in a fleet document.
+/// Maximum number of hosts in a fleet document.
 pub const HOSTS_MAX: usize = 5_000;
-/// Most evacuated data centres in a fleet document.
+/// Maximum number of evacuated data centres in a fleet document.
 pub const EVACUATED_MAX: usize = 256;
-/// Longest time for which a target may be listed as cold, in ms.
+/// Maximum remaining time of a target's cold start in the list, in ms.
 pub const COLD_MS_MAX: u64 = 3_600_000;
 
-/// What the platform says of a host.
+/// The state of a host in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// In service.
+    /// The host is in service.
     Live,
-    /// About to go: gets no new request.
+    /// The host is about to leave and gets no new requests.
     Leaving,
 }
 
-/// The name of a host that is known by nothing but its address.
+/// Derives a host's name from its IP address, for platforms that do not name their hosts.
 pub fn host_name(ip: IpAddr) -> String {
     ip.to_string().replace(['.', ':'], "-")
 }
@@ -38,31 +38,31 @@
 pub struct Host {
     /// The host's name.
     pub name: String,
-    /// Where its node takes streams from other nodes.
+    /// Address at which the host's node accepts connections from other nodes.
     pub node_address: SocketAddr,
-    /// The data centre it stands in.
+    /// The host's data centre.
     pub data_centre: String,
-    /// What the platform says of it.
+    /// Whether the host is in service.
     pub state: HostState,
 }
 
-/// A target that registered itself, beside those that the teams' documents list.
+/// A target that registered itself with the platform, in addition to those that the teams' documents list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetTarget {
-    /// Full name of its service, `team/service`.
+    /// Full name of the target's service, `team/service`.
     pub service: String,
-    /// The target's name; it may start again under it.
+    /// The target's name, which it keeps over restarts.
     pub name: String,
-    /// The host it runs on.
+    /// Name of the host that the target runs on.
     pub host: String,
-    /// Requests it can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// How much longer it bears few calls after a start, in ms, when this was written; 0 for a warm one.
+    /// Remaining time of the target's cold start in ms when the list was written; 0 if it is warm.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cold_ms: u64,
-    /// When it started, in ms of Unix time by its own clock; 0 when it does not say. A target that starts again under
-    /// its name knows nothing of before, and its clock may have been set back: any other time is another start.
+    /// When the target started, in ms of Unix time by its own clock; 0 if unknown. Any other value, also an earlier one,
+    /// means that the target was restarted and lost its state: its clock may have been set back.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub started_unix_ms: u64,
 }
@@ -72,28 +72,28 @@
     *ms == 0
 }
 
-/// The hosts the platform knows of; it lags behind the truth.
+/// The fleet document. It lags behind the actual state of hosts and targets.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Data centres that operators have evacuated: their targets get nothing new, while their nodes go on as
-    /// entries, peers and readers.
+    /// Data centres that operators have evacuated: their targets get no new calls, while their nodes continue to accept
+    /// callers, to exchange state with other nodes and to read the platform.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub evacuated: Vec<String>,
     /// All hosts, live and leaving.
     #[serde(default, rename = "host")]
     pub hosts: Vec<Host>,
-    /// Targets that registered themselves.
+    /// Targets that registered themselves with the platform.
     #[serde(default, rename = "target")]
     pub targets: Vec<FleetTarget>,
 }
 
 impl Fleet {
-    /// Reads and checks a fleet document.
+    /// Parses and checks a fleet document; `file` is its name in error messages.
     ///
     /// # Errors
     ///
-    /// All faults found in `text`.
+    /// Returns all problems found in `text`.
     pub fn from_text(file: &str, text: &str) -> Result<Self, ConfigError> {
         let mut check = Checker::new(file, text);
         let fleet: Self = check.parse().unwrap_or_default();
@@ -101,54 +101,62 @@
         check.ensure(fleet.evacuated.len() <= EVACUATED_MAX, "evacuated", "too many data centres");
         let mut evacuated = HashSet::new();
         for name in &fleet.evacuated {
-            check.ensure(is_name(name), "evacuated", &format!("'{name}' is not a name"));
-            check.ensure(evacuated.insert(name), "evacuated", &format!("'{name}' stands twice"));
+            check.ensure(is_name(name), "evacuated", &format!("'{name}' is not 1 to 63 of a-z, 0-9 and '-'"));
+            check.ensure(evacuated.insert(name), "evacuated", &format!("'{name}' is listed twice"));
         }
         let mut names = HashSet::new();
         for host in &fleet.hosts {
-            check.ensure(is_name(&host.name), "name", &format!("'{}' is not a name", host.name));
-            check.ensure(is_name(&host.data_centre), "data_centre", "is not a name");
-            let message = format!("host '{}' stands twice", host.name);
+            check.ensure(
+                is_name(&host.name),
+                "name",
+                &format!("'{}' is not 1 to 63 of a-z, 0-9 and '-'", host.name),
+            );
+            check.ensure(is_name(&host.data_centre), "data_centre", "must be 1 to 63 of a-z, 0-9 and '-'");
+            let message = format!("host '{}' is listed twice", host.name);
             check.ensure(names.insert(&host.name), "name", &message);
         }
         let mut target_hosts = HashSet::new();
         for target in &fleet.targets {
-            let is_full = target.service.split_once('/').is_some_and(|(t, s)| is_name(t) && is_name(s));
-            check.ensure(is_full, "target.service", "must be 'team/service'");
-            check.ensure(is_name(&target.name), "target.name", &format!("'{}' is not a name", target.name));
+            let is_full_name = target.service.split_once('/').is_some_and(|(t, s)| is_name(t) && is_name(s));
+            check.ensure(is_full_name, "target.service", "must be 'team/service'");
+            check.ensure(
+                is_name(&target.name),
+                "target.name",
+                &format!("'{}' is not 1 to 63 of a-z, 0-9 and '-'", target.name),
+            );
             check.range("target.slots", target.slots, 1..=SLOTS_MAX);
             check.range("target.cold_ms", target.cold_ms, 0..=COLD_MS_MAX);
-            check.ensure(names.contains(&target.host), "target.host", "is no host of the fleet");
-            let message = format!("'{}' has two targets", target.host);
+            check.ensure(names.contains(&target.host), "target.host", "is not a host of the fleet");
+            let message = format!("host '{}' has two targets", target.host);
             check.ensure(target_hosts.insert(&target.host), "target.host", &message);
         }
         check.finish().map(|()| fleet)
     }
 
-    /// This fleet, and the targets in service that `before` has and it lacks, with their hosts; none
-    /// when there are none.
+    /// Returns this fleet with the live hosts that only `before` lists and their targets added; `None` if there are no
+    /// such targets.
     ///
-    /// A host that is listed again, with whatever target, keeps none of its old ones.
+    /// A host that this fleet still lists gets none of its earlier targets back.
     pub fn with_lost_targets(&self, before: &Self) -> Option<Self> {
         let mut kept = self.clone();
         let listed = self.hosts.iter().map(|host| host.name.as_str()).collect::<HashSet<_>>();
-        let lost = before.hosts.iter().filter(|host| !listed.contains(host.name.as_str()));
-        let lost = lost.filter(|host| host.state == HostState::Live);
-        let lost = lost.map(|host| (host.name.as_str(), host)).collect::<HashMap<_, _>>();
+        let dropped = before.hosts.iter().filter(|host| !listed.contains(host.name.as_str()));
+        let dropped = dropped.filter(|host| host.state == HostState::Live);
+        let dropped = dropped.map(|host| (host.name.as_str(), host)).collect::<HashMap<_, _>>();
         for target in &before.targets {
-            let Some(host) = lost.get(target.host.as_str()) else { continue };
+            let Some(host) = dropped.get(target.host.as_str()) else { continue };
             kept.hosts.push((*host).clone());
             kept.targets.push(target.clone());
         }
         (kept.targets.len() > self.targets.len()).then_some(kept)
     }
 
-    /// The host called `name`.
+    /// Finds a host by name with a linear search.
     pub fn host(&self, name: &str) -> Option<&Host> {
         self.hosts.iter().find(|host| host.name == name)
     }
 
-    /// Whether the target on `host` may get new calls: the host is in service, and its data centre is not evacuated.
+    /// Whether targets on `host` get new calls: the host is live and its data centre is not evacuated.
     pub fn takes_calls(&self, host: &Host) -> bool {
         host.state == HostState::Live && !self.is_evacuated(&host.data_centre)
     }
@@ -158,12 +166,12 @@
         self.evacuated.iter().any(|name| name == data_centre)
     }
 
-    /// Whether a host of the fleet has its node at this address.
+    /// Whether a host of the fleet has a node at this address.
     pub fn is_node(&self, address: SocketAddr) -> bool {
         self.hosts.iter().any(|host| host.node_address == address)
     }
 
-    /// Whether a host of the fleet has this IP number.
+    /// Whether a host of the fleet has this IP address.
     pub fn has_ip(&self, ip: IpAddr) -> bool {
         self.hosts.iter().any(|host| host.node_address.ip() == ip)
     }
--- a/crates/laurelstall_config/src/key_digest.rs
+++ b/crates/laurelstall_config/src/key_digest.rs
@@ -1,4 +1,4 @@
-//! Digests of callers' keys: what is kept of a key everywhere but in its caller's hands.
+//! Digests of callers' keys. Nodes and documents store these instead of the keys.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
@@ -10,43 +10,41 @@
 };
 use subtle::ConstantTimeEq;
 
-/// Bytes that are kept of a key's SHA-256: with a million keys, one that was made up has the digest of one of them with
-/// a chance below 2^-100.
+/// Number of bytes of a key's SHA-256 that a digest holds: with a million keys, the chance that a guessed key matches
+/// one of their digests is below 2^-100.
 pub const KEY_DIGEST_BYTES: usize = 16;
-/// Longest key in bytes: it fits the smallest head that callers may send.
+/// Maximum length of a key in bytes; such a key fits into the smallest request head that can be set as the limit.
 pub const KEY_BYTES_MAX: usize = 4_096;
 
 quick_error! {
-    /// A text that is no key, or no digest of one. It never holds the text itself.
+    /// An invalid key or digest. Contains no part of the key, so that it can be logged.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum KeyError {
         /// The key is empty.
         Empty {
             display("a key is empty")
         }
-        /// The key is too long; its length in bytes.
+        /// The key has this number of bytes, more than [`KEY_BYTES_MAX`].
         TooLong(bytes: usize) {
             display("a key has {bytes} bytes, {KEY_BYTES_MAX} is the most")
         }
-        /// The digest is not written as hexadecimal digits.
+        /// The text is not a digest in hexadecimal digits.
         NoDigest {
             display("a key's digest must be {} hexadecimal digits", 2 * KEY_DIGEST_BYTES)
         }
     }
 }
 
-/// The digest of a key.
-///
-/// Two are compared in a time that does not depend on where they differ.
+/// The digest of a key, compared in constant time.
 #[derive(Clone, Copy)]
 pub struct KeyDigest([u8; KEY_DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key as its caller sends it.
+    /// Computes the digest of a key as its caller sends it.
     ///
     /// # Errors
     ///
-    /// [`KeyError`] when it is empty or too long.
+    /// Returns a [`KeyError`] if the key is empty or too long.
     pub fn of_key(key: &[u8]) -> Result<Self, KeyError> {
         if key.is_empty() {
             return Err(KeyError::Empty);
@@ -75,14 +73,14 @@
     }
 }
 
-/// The digest itself is left out: short keys could be guessed from it.
+/// Leaves out the digest, since short keys can be guessed from it.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
     }
 }
 
-/// The hexadecimal form that documents hold.
+/// Writes the hexadecimal form that documents contain.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
--- a/crates/laurelstall_config/src/lib.rs
+++ b/crates/laurelstall_config/src/lib.rs
@@ -1,8 +1,8 @@
 //! Node settings and published configuration of laurelstall.
 //!
-//! Two kinds of text reach a node: its own [`Settings`](settings::Settings) file, read once at
-//! start, and the [`documents`](document::Document) that the platform publishes with growing
-//! versions. Both are TOML, both are checked here, and `laurelstall-check` uses the same code.
+//! A node reads its own [`Settings`](settings::Settings) file once at start, and applies the
+//! [`documents`](document::Document) that the platform publishes with increasing versions. Both are
+//! TOML or JSON. `laurelstall-check` runs the same checks.
 
 pub mod configuration;
 pub mod document;
@@ -15,7 +15,7 @@
 pub mod team;
 pub mod workspace;
 
-/// The types most callers need.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::{
         configuration::Configuration,
--- a/crates/laurelstall_config/src/problem.rs
+++ b/crates/laurelstall_config/src/problem.rs
@@ -1,22 +1,22 @@
-//! What is wrong with a text, said so that a person finds the place.
+//! Problems of settings and documents, with the place at which each was found.
 
 use quick_error::quick_error;
 use serde::de::DeserializeOwned;
 use std::{fmt, ops::RangeInclusive};
 
-/// What a JSON text begins with, and no TOML text.
+/// First character of a JSON text; no TOML text starts with it.
 const JSON_START: char = '{';
 
-/// One fault in one text.
+/// A problem of a settings file or document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// File or document the fault is in.
+    /// Name of the file or document.
     pub file: String,
-    /// Line of the fault, counted from 1; 0 when the place is not known.
+    /// Line of the problem, counted from 1; 0 if the line is not known.
     pub line: usize,
-    /// Name of the field at fault; empty when the text does not parse.
+    /// Name of the invalid field; empty if the text does not parse.
     pub field: String,
-    /// What is wrong and what would be right.
+    /// What is wrong and which values are valid.
     pub message: String,
 }
 
@@ -31,10 +31,10 @@
 }
 
 quick_error! {
-    /// A text that was not accepted.
+    /// An error in a settings file or document.
     #[derive(Debug, Clone)]
     pub enum ConfigError {
-        /// The text has these faults, all that were found.
+        /// The text has these problems.
         Invalid(problems: Vec<Problem>) {
             display("{}", problems.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n"))
         }
@@ -42,14 +42,14 @@
 }
 
 impl ConfigError {
-    /// The faults, in the order they were found.
+    /// Returns the problems in the order in which they were found.
     pub fn problems(&self) -> &[Problem] {
         let ConfigError::Invalid(problems) = self;
         problems
     }
 }
 
-/// Collects the faults of one text, so that all are reported at once.
+/// Collects the problems of one text, so that all are reported at once.
 #[derive(Debug)]
 pub struct Checker<'a> {
     file: &'a str,
@@ -58,15 +58,15 @@
 }
 
 impl<'a> Checker<'a> {
-    /// Starts a check of `text`, which came from `file`.
+    /// Starts a check of `text`, the content of `file`.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self { file, text, problems: Vec::new() }
     }
 
-    /// Parses the text, or notes why it does not parse.
+    /// Parses the text. If that fails, adds the reason to the problems and returns `None`.
     ///
-    /// A text that begins with a brace is JSON, any other is TOML. People write TOML; for a list of a thousand hosts,
-    /// which a program writes many times a minute, JSON is read in 1.9 ms instead of 9.5 (`examples/list_cost.rs`).
+    /// A text that starts with a brace is JSON, any other is TOML. Programs that publish large documents often write
+    /// JSON, which parses faster.
     pub fn parse<T: DeserializeOwned>(&mut self) -> Option<T> {
         if self.text.starts_with(JSON_START) {
             return self.parse_json();
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Notes a fault of `field` unless `value` lies in `range`.
+    /// Adds a problem of `field` unless `value` is in `range`.
     pub fn range<T>(&mut self, field: &str, value: T, range: RangeInclusive<T>)
     where
         T: PartialOrd + fmt::Display,
@@ -98,30 +98,30 @@
         if range.contains(&value) {
             return;
         }
-        let message = format!("{value} is not in {} to {}", range.start(), range.end());
+        let message = format!("{value} is not in the range {} to {}", range.start(), range.end());
         self.fault(field, &message);
     }
 
-    /// Notes a fault of `field` unless `is_right`.
-    pub fn ensure(&mut self, is_right: bool, field: &str, message: &str) {
-        if !is_right {
+    /// Adds a problem of `field` unless `is_valid` holds.
+    pub fn ensure(&mut self, is_valid: bool, field: &str, message: &str) {
+        if !is_valid {
             self.fault(field, message);
         }
     }
 
-    /// Notes a fault of `field`; its line is where the field's last name first stands.
+    /// Adds a problem of `field`, at the first line that sets a key with the last part of the field's name.
     pub fn fault(&mut self, field: &str, message: &str) {
         let key = field.rsplit('.').next().unwrap_or(field);
         self.push(self.line_of_key(key), field, message);
     }
 
-    /// Notes a fault of `field` at the line where `text` stands the last time.
+    /// Adds a problem of `field` at the last line that contains `text`.
     pub fn fault_at(&mut self, text: &str, field: &str, message: &str) {
         let line = self.text.rfind(text).map_or(0, |offset| self.line_of_offset(offset));
         self.push(line, field, message);
     }
 
-    /// Notes a fault at a known line.
+    /// Adds a problem of `field` at this line.
     pub fn push(&mut self, line: usize, field: &str, message: &str) {
         self.problems.push(Problem {
             file: self.file.to_owned(),
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// All faults noted, if there was any.
+    /// Returns all problems that were added, if there are any.
     pub fn finish(self) -> Result<(), ConfigError> {
         if self.problems.is_empty() {
             return Ok(());
@@ -149,17 +149,17 @@
 
     fn line_of_key(&self, key: &str) -> usize {
         let is_key = |line: &str| {
-            let rest = line.trim_start().trim_start_matches('[').strip_prefix(key);
-            rest.is_some_and(|rest| rest.trim_start().starts_with(['=', ']', '.']))
+            let after_key = line.trim_start().trim_start_matches('[').strip_prefix(key);
+            after_key.is_some_and(|rest| rest.trim_start().starts_with(['=', ']', '.']))
         };
         self.text.lines().position(is_key).map_or(0, |index| index + 1)
     }
 }
 
-/// Whether `name` may name a team, service, target, host or data centre.
+/// Whether `name` is a valid name of a team, service, target, host or data centre.
 ///
-/// Names are 1 to 63 of lower-case letters, digits and `-`; so `team/service` never collides.
+/// Names consist of 1 to 63 lower-case letters, digits and `-`, so that `team/service` is unambiguous.
 pub fn is_name(name: &str) -> bool {
-    let is_letter = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    (1..=63).contains(&name.len()) && name.chars().all(is_letter)
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    (1..=63).contains(&name.len()) && name.chars().all(is_allowed)
 }
--- a/crates/laurelstall_config/src/settings.rs
+++ b/crates/laurelstall_config/src/settings.rs
@@ -1,4 +1,4 @@
-//! A node's own settings, read once at start.
+//! A node's settings file, read once at start.
 
 use crate::{
     fleet::host_name,
@@ -7,42 +7,43 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// Who this node is and where it listens.
+/// The node's identity, addresses and shutdown.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// The host's name, as in the platform's list; without one, it is named after its peer address.
+    /// The host's name in the platform's list; derived from `peer_address` if empty.
     #[serde(default)]
     pub host: String,
-    /// The data centre the host stands in.
+    /// The host's data centre.
     pub data_centre: String,
-    /// Where callers connect.
+    /// Address to which callers connect.
     pub entry_address: SocketAddr,
-    /// Where other nodes connect.
+    /// Address to which other nodes connect.
     pub peer_address: SocketAddr,
-    /// Where operators connect.
+    /// Address of the administration API.
     pub admin_address: SocketAddr,
-    /// Whether nodes are served that no list names: where targets register themselves, a node
-    /// beside one that has not done so yet calls others all the same.
+    /// Whether to accept connections of nodes that the fleet document does not list. Needed where targets register
+    /// themselves: a node whose target has not registered yet already calls other nodes.
     #[serde(default)]
     pub takes_unlisted_peers: bool,
-    /// How long a stopping node goes on serving callers while it tells them to leave, in ms.
+    /// Time in ms for which a stopping node still serves callers while it asks them to close their connections.
     #[serde(default = "stop_linger_ms_default")]
     pub stop_linger_ms: u64,
-    /// Longest a planned stop may take in ms.
+    /// Maximum duration of a graceful shutdown in ms.
     #[serde(default = "stop_max_ms_default")]
     pub stop_max_ms: u64,
-    /// Time after which a process that was told to stop is killed, in s; a stop ends within nine tenths of it,
-    /// whatever `stop_max_ms` says. 0 when nothing says so.
+    /// Time in s after which the process is killed once it was asked to stop; 0 if unknown. A graceful shutdown is
+    /// limited to nine tenths of it, even if `stop_max_ms` is longer.
     #[serde(default)]
     pub stop_grace_s: f64,
 }
 
-/// Share of the time until it is killed that a stopping process may use: the rest is for its own end.
+/// Share of `stop_grace_s` that a graceful shutdown may use; the rest is a reserve for the exit of the process.
 const STOP_GRACE_SHARE: f64 = 0.9;
 
 impl NodeSettings {
-    /// Longest a planned stop may take in ms, by this node's own limit and by the time until it is killed.
+    /// Returns the maximum duration of a graceful shutdown in ms: the lower of the limits that `stop_max_ms` and
+    /// `stop_grace_s` set.
     pub fn stop_limit_ms(&self) -> u64 {
         if self.stop_grace_s <= 0.0 {
             return self.stop_max_ms;
@@ -59,7 +60,7 @@
     30_000
 }
 
-/// The HTTP version a target speaks.
+/// The HTTP version that a target supports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetHttp {
@@ -69,29 +70,29 @@
     Http2,
 }
 
-/// The target beside this node.
+/// The target on this node's host, for which the node is the guard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSettings {
-    /// Full name of its service, `team/service`.
+    /// Full name of the target's service, `team/service`.
     pub service: String,
-    /// Where it listens.
+    /// Address at which the target listens.
     pub address: SocketAddr,
-    /// What it speaks.
+    /// HTTP version of requests to the target.
     #[serde(default = "target_http_default")]
     pub http: TargetHttp,
-    /// Longest time to open a connection in ms.
+    /// Time limit for opening a connection in ms.
     #[serde(default = "connect_timeout_ms_default")]
     pub connect_timeout_ms: u64,
-    /// Shortest time in s after which an address whose target has ended is given to another service; 0 when
-    /// nothing says so.
+    /// Minimum time in s after a target's exit before the platform assigns its address to another service; 0 if
+    /// unknown.
     ///
-    /// For so long after the node's start, whoever answers at the address belongs to the service above.
+    /// For this time after the node's start, any target that answers at the address belongs to `service`.
     #[serde(default)]
     pub address_reuse_s: f64,
 }
 
-/// Longest time that may be given for the reuse of addresses, in s.
+/// Maximum of `address_reuse_s`.
 const ADDRESS_REUSE_MAX_S: f64 = 3_600.0;
 
 fn target_http_default() -> TargetHttp {
@@ -102,41 +103,42 @@
     1_000
 }
 
-/// The platform's configuration service.
+/// The platform's configuration service and the platform's limits on nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// Address at which the configuration service listens.
     pub address: SocketAddr,
-    /// Longest a plain read may take in ms.
+    /// Time limit of a read in ms; a watch may take `watch_wait_ms` longer.
     #[serde(default = "read_timeout_ms_default")]
     pub read_timeout_ms: u64,
-    /// How long a watch waits for a change in ms.
+    /// Time in ms for which a watch waits for a change.
     #[serde(default = "watch_wait_ms_default")]
     pub watch_wait_ms: u64,
-    /// What all nodes together may send to targets more than once.
+    /// Limit on retries, hedges and other repeated requests, summed over all nodes.
     #[serde(default)]
     pub repeats: RepeatBounds,
-    /// What all nodes together may send to a cold target.
+    /// Limit on the calls that a cold target gets, summed over all nodes.
     #[serde(default)]
     pub cold: ColdBounds,
-    /// How far all nodes together may exceed a workspace's quota.
+    /// Limit on the calls of a workspace above its quota, summed over all nodes.
     #[serde(default)]
     pub quota: QuotaBounds,
-    /// Age in ms of what a node knows of keys from which it takes no call that needs one; 0 when it always goes by
-    /// what it knows.
+    /// Maximum age in ms of a node's list of keys; with an older list the node rejects calls that need a key. 0 for no
+    /// limit.
     #[serde(default)]
     pub keys_age_max_ms: u64,
-    /// The region of each data centre, where routes or workspaces are bound to regions.
+    /// The region of each data centre, by the name of the data centre; needed if routes or workspaces are restricted to
+    /// regions.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
 }
 
-/// Watches in the longest time for which keys may be out of date: what a watch tells is as old as the watch.
+/// Number of watches within `keys_age_max_ms`: the result of a watch may be as old as the watch.
 const WATCHES_PER_KEYS_AGE: u64 = 5;
 
 impl PlatformSettings {
-    /// A platform at `address`, with every default.
+    /// Creates settings of a platform at `address` with the default of each other field.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -150,42 +152,43 @@
         }
     }
 
-    /// How long a watch waits for a change in ms, with keys known soon enough.
-    pub fn watch_limit_ms(&self) -> u64 {
+    /// Returns the time in ms for which a watch waits for a change: `watch_wait_ms`, or less if `keys_age_max_ms` needs it.
+    pub fn effective_watch_wait_ms(&self) -> u64 {
         match self.keys_age_max_ms {
             0 => self.watch_wait_ms,
             age_ms => self.watch_wait_ms.min(age_ms / WATCHES_PER_KEYS_AGE),
         }
     }
 
-    /// The bounds on what targets get.
+    /// Returns the limits on what targets get.
     pub fn target_bounds(&self) -> TargetBounds {
         TargetBounds { repeats: self.repeats, cold: self.cold }
     }
 }
 
-/// Bounds of the platform on what targets get from all nodes together.
+/// The platform's limits on what targets get, summed over all nodes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TargetBounds {
-    /// What they may be sent more than once.
+    /// Limit on repeated requests.
     pub repeats: RepeatBounds,
-    /// What a cold one may get.
+    /// Limit on the calls of a cold target.
     pub cold: ColdBounds,
 }
 
-/// Bound of the platform on what one cold target gets within any second, beside the pace that its service states.
+/// The platform's limit on the calls that a cold target gets within any second, relative to the rate that its service
+/// declares.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ColdBounds {
-    /// Multiple of the stated pace that it may get; 0 when nothing bounds it.
+    /// Multiple of the declared rate; 0 for no limit.
     pub overrun: f64,
-    /// Calls that it may get besides; may be a fraction.
+    /// Number of calls on top of that; may be a fraction.
     pub slack: f64,
 }
 
 impl ColdBounds {
-    /// Most calls that a cold target may get within any second, where its service states that such a target bears
-    /// `per_s` a second for long; 0 when nothing bounds them.
+    /// Returns the maximum number of calls that a cold target may get within any second, where `per_s` is the sustained
+    /// rate per second that its service declares; 0 for no limit.
     pub fn calls_per_s(&self, per_s: f64) -> u32 {
         if self.overrun <= 0.0 {
             return 0;
@@ -194,32 +197,32 @@
     }
 }
 
-/// Bound of the platform on what the calls of a workspace that run may exceed its quota by, in any window.
+/// The platform's limit on the calls of a workspace that run above its quota, within any window.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuotaBounds {
     /// Length of the window in s.
     pub window_s: f64,
-    /// Share of the quota of a window that may come on top.
+    /// Number of calls above the quota, as a share of the calls that the quota allows in a window.
     pub overrun: f64,
-    /// Calls that may come on top besides.
+    /// Number of calls on top of that.
     pub slack: f64,
 }
 
 impl Default for QuotaBounds {
-    /// Nothing on top, within windows in which an operator looks at a rate.
+    /// No calls above the quota, within windows of five seconds.
     fn default() -> Self {
         Self { window_s: 5.0, overrun: 0.0, slack: 0.0 }
     }
 }
 
-/// Bound of the platform on what targets of a service get more than once, from all nodes together.
+/// The platform's limit on repeated requests to the targets of a service, summed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RepeatBounds {
-    /// As a share of the calls of any ten seconds, 0 to 1.
+    /// Maximum number of repeated requests in any ten seconds, as a share of the calls.
     pub share: f64,
-    /// Besides, in any ten seconds; may be a fraction.
+    /// Number of repeated requests in any ten seconds on top of that; may be a fraction.
     pub reserve: f64,
 }
 
@@ -241,25 +244,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallerLimits {
-    /// Connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: usize,
-    /// Streams at once on one HTTP/2 connection.
+    /// Maximum number of concurrent streams on one HTTP/2 connection.
     pub streams: u32,
-    /// Bytes of a request head.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request body; 0 for no limit.
+    /// Maximum size of a request body in bytes; 0 for no limit.
     pub body_bytes: u64,
-    /// Longest time to receive a request head in ms.
+    /// Time limit for receiving a request head in ms.
     pub head_timeout_ms: u64,
-    /// Longest silence inside a body in ms.
+    /// Maximum time without data within a body in ms.
     pub idle_timeout_ms: u64,
-    /// Time budget of a call that names none, in ms.
+    /// Time budget in ms of a call for which the caller sets none.
     pub budget_default_ms: u64,
-    /// Largest time budget a caller may ask for, in ms.
+    /// Maximum time budget that a caller may request, in ms.
     pub budget_max_ms: u64,
-    /// Deepest chain of calls.
+    /// Maximum depth of nested calls.
     pub depth_max: u32,
-    /// Request bytes held so that a refused call can be tried elsewhere.
+    /// Number of bytes of a request that are buffered, so that a rejected call can be retried at another target.
     pub replay_bytes: usize,
 }
 
@@ -280,13 +283,13 @@
     }
 }
 
-/// What a token allows.
+/// The permissions of a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Look only.
+    /// Read the state of the node.
     Read,
-    /// Look, drain and change the log level.
+    /// Also drain the node and change its log level.
     Operate,
 }
 
@@ -294,24 +297,24 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TokenSettings {
-    /// The team it belongs to; its holder sees that team's services only. Empty for all teams.
+    /// The team whose services the token gives access to; empty for all teams.
     #[serde(default)]
     pub team: String,
-    /// What it allows.
+    /// What the token permits.
     pub role: Role,
-    /// The secret, at least 16 characters.
+    /// The secret, of at least [`SECRET_LENGTH_MIN`] characters.
     pub secret: String,
 }
 
-/// How routing decisions are written.
+/// The format of the decision log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionFormat {
-    /// One line a person reads.
+    /// One readable line per decision.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// None.
+    /// No decision log.
     Off,
 }
 
@@ -319,15 +322,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Level: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Log level: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
-    /// Form of the decision log.
+    /// Format of the decision log.
     pub decisions: DecisionFormat,
-    /// Decisions that may wait to be written; more are dropped and counted.
+    /// Maximum number of decisions that are queued to be written; further ones are dropped and counted.
     pub decisions_waiting_max: usize,
-    /// Where metrics go over UDP; none when absent.
+    /// Address to which metrics are sent over UDP; `None` to send none.
     pub statsd_address: Option<SocketAddr>,
-    /// Pause between two sendings of metrics in ms.
+    /// Interval at which metrics are sent in ms.
     pub metrics_interval_ms: u64,
 }
 
@@ -343,17 +346,17 @@
     }
 }
 
-/// All settings of a node.
+/// The settings of a node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who and where.
+    /// The node itself.
     pub node: NodeSettings,
-    /// The target beside it; a host without one is an entry only.
+    /// The target on the node's host; `None` for a node that is only an entry for callers.
     pub target: Option<TargetSettings>,
     /// The platform.
     pub platform: PlatformSettings,
-    /// Other nodes to ask before the platform's list is known.
+    /// Addresses of nodes from which a node without a fleet document requests it.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Limits on callers.
@@ -367,19 +370,19 @@
     pub log: LogSettings,
 }
 
-/// Fewest characters of a token's secret.
+/// Minimum number of characters of a token's secret.
 pub const SECRET_LENGTH_MIN: usize = 16;
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Parses and checks a settings file; `file` is its name in error messages.
     ///
     /// # Errors
     ///
-    /// All faults found in `text`, with file, line and field.
+    /// Returns all problems found in `text`, with file, line and field.
     pub fn from_text(file: &str, text: &str) -> Result<Self, ConfigError> {
         let mut check = Checker::new(file, text);
         let Some(mut settings) = check.parse::<Self>() else {
-            return Err(check.finish().expect_err("parsing noted a problem"));
+            return Err(check.finish().expect_err("parsing added a problem"));
         };
         if settings.node.host.is_empty() {
             settings.node.host = host_name(settings.node.peer_address.ip());
@@ -391,14 +394,18 @@
     }
 
     fn check_node(&self, check: &mut Checker<'_>) {
-        check.ensure(is_name(&self.node.host), "node.host", "is not a name");
-        check.ensure(is_name(&self.node.data_centre), "node.data_centre", "is not a name");
+        check.ensure(is_name(&self.node.host), "node.host", "must be 1 to 63 of a-z, 0-9 and '-'");
+        check.ensure(
+            is_name(&self.node.data_centre),
+            "node.data_centre",
+            "must be 1 to 63 of a-z, 0-9 and '-'",
+        );
         check.range("node.stop_linger_ms", self.node.stop_linger_ms, 0..=self.node.stop_max_ms);
         check.range("node.stop_max_ms", self.node.stop_max_ms, 0..=600_000);
         check.range("node.stop_grace_s", self.node.stop_grace_s, 0.0..=600.0);
         if let Some(target) = &self.target {
-            let is_full = target.service.split_once('/').is_some_and(|(t, s)| is_name(t) && is_name(s));
-            check.ensure(is_full, "target.service", "must be 'team/service'");
+            let is_full_name = target.service.split_once('/').is_some_and(|(t, s)| is_name(t) && is_name(s));
+            check.ensure(is_full_name, "target.service", "must be 'team/service'");
             check.range("target.connect_timeout_ms", target.connect_timeout_ms, 1..=60_000);
             check.range("target.address_reuse_s", target.address_reuse_s, 0.0..=ADDRESS_REUSE_MAX_S);
         }
@@ -413,9 +420,13 @@
         check.range("platform.quota.slack", self.platform.quota.slack, 0.0..=1_000_000.0);
         check.range("platform.keys_age_max_ms", self.platform.keys_age_max_ms, 0..=86_400_000);
         for token in &self.tokens {
-            let is_long = token.secret.len() >= SECRET_LENGTH_MIN;
-            check.ensure(is_long, "token.secret", "must have at least 16 characters");
-            check.ensure(token.team.is_empty() || is_name(&token.team), "token.team", "is not a name");
+            let is_long_enough = token.secret.len() >= SECRET_LENGTH_MIN;
+            check.ensure(is_long_enough, "token.secret", "must have at least 16 characters");
+            check.ensure(
+                token.team.is_empty() || is_name(&token.team),
+                "token.team",
+                "must be 1 to 63 of a-z, 0-9 and '-'",
+            );
         }
     }
 
@@ -429,7 +440,7 @@
         check.range("callers.budget_default_ms", callers.budget_default_ms, 1..=3_600_000);
         check.range("callers.budget_max_ms", callers.budget_max_ms, 1..=3_600_000);
         let is_ordered = callers.budget_default_ms <= callers.budget_max_ms;
-        check.ensure(is_ordered, "callers.budget_default_ms", "is above budget_max_ms");
+        check.ensure(is_ordered, "callers.budget_default_ms", "must not be above budget_max_ms");
         check.range("callers.depth_max", callers.depth_max, 1..=64);
         check.range("callers.replay_bytes", callers.replay_bytes, 0..=1_048_576);
     }
--- a/crates/laurelstall_config/src/system.rs
+++ b/crates/laurelstall_config/src/system.rs
@@ -1,4 +1,4 @@
-//! Limits that hold for the whole system, published by the platform.
+//! The system document: limits of the whole system, published by the platform.
 
 use crate::{
     problem::{Checker, ConfigError, is_name},
@@ -6,13 +6,13 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What a node may spend on observing targets.
+/// Limits on the traffic with which a node observes targets.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ObserveLimits {
-    /// Bytes a second, both directions, hints and probes together. 0 turns observing off.
+    /// Bytes per second in both directions, for hints and probes together; 0 disables both.
     pub bytes_per_s: u64,
-    /// Probes a second, sent and answered together.
+    /// Probes per second, sent and answered together.
     pub probes_per_s: u64,
 }
 
@@ -22,19 +22,19 @@
     }
 }
 
-/// How nodes spread configuration.
+/// How nodes distribute the configuration among each other.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SpreadLimits {
-    /// Nodes in each data centre that watch the platform.
+    /// Number of nodes in each data centre that watch the platform.
     pub readers_per_data_centre: usize,
-    /// Other nodes that a node keeps exchanging versions with.
+    /// Number of partners, the peers that a node gossips with.
     pub partners: usize,
-    /// Pause between two exchanges of versions with a partner in ms.
+    /// Interval between two exchanges of versions with a partner in ms.
     pub exchange_interval_ms: u64,
-    /// Without news of a platform read for so long, any node may read itself; in ms.
+    /// Time in ms without a known read of the platform after which any node may read it.
     pub fallback_read_after_ms: u64,
-    /// Longest pause after a failed read of the platform in ms.
+    /// Maximum backoff after failed reads of the platform in ms.
     pub read_pause_max_ms: u64,
 }
 
@@ -50,20 +50,20 @@
     }
 }
 
-/// Published limits on callers; what is not named stays as the node's settings say.
+/// Published limits on callers, which override those of the nodes' settings where they are set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PublishedCallerLimits {
-    /// Bytes of a request head.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: Option<usize>,
-    /// Bytes of a request body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: Option<u64>,
-    /// Longest silence inside a body in ms.
+    /// Maximum time without data within a body in ms.
     pub idle_timeout_ms: Option<u64>,
 }
 
 impl PublishedCallerLimits {
-    /// The limits of a node's settings with these in their place.
+    /// Returns the limits of a node's settings with these overrides applied.
     pub fn applied_to(&self, settings: CallerLimits) -> CallerLimits {
         CallerLimits {
             head_bytes: self.head_bytes.unwrap_or(settings.head_bytes),
@@ -74,15 +74,15 @@
     }
 }
 
-/// The one-way time between two data centres.
+/// The latency between two data centres.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Distance {
-    /// One end.
+    /// Name of one data centre.
     pub from: String,
-    /// The other end.
+    /// Name of the other data centre.
     pub to: String,
-    /// One-way time in µs.
+    /// One-way latency in µs.
     pub one_way_us: u64,
 }
 
@@ -90,32 +90,32 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SystemLimits {
-    /// Budget for observing targets.
+    /// Limits on observing targets.
     pub observe: ObserveLimits,
-    /// Spreading of configuration.
+    /// Distribution of the configuration among nodes.
     pub spread: SpreadLimits,
     /// Limits on callers.
     pub callers: PublishedCallerLimits,
-    /// What it costs to send a call to another data centre, in percent of the worth of its answer: a
-    /// call leaves its data centre when its chance to be in time grows by more than that.
+    /// Cost of a remote data centre in percent: a call is sent there if that raises the probability that its answer is
+    /// in time by more than this.
     pub data_centre_change_percent: u32,
-    /// Times between data centres; pairs not listed count as [`DISTANCE_DEFAULT_US`].
+    /// Latencies between data centres; [`DISTANCE_DEFAULT_US`] for pairs that are not listed.
     #[serde(rename = "distance")]
     pub distances: Vec<Distance>,
 }
 
-/// Fewest bytes of a request head that may be the limit: the HTTP library needs them.
+/// Minimum of the limit on request heads in bytes, which hyper requires.
 const HEAD_BYTES_MIN: usize = 8_192;
 
-/// One-way time between data centres that no entry names, in µs.
+/// One-way latency between data centres for which the document has none, in µs.
 pub const DISTANCE_DEFAULT_US: u64 = 1_000;
 
 impl SystemLimits {
-    /// Reads and checks a system document.
+    /// Parses and checks a system document; `file` is its name in error messages.
     ///
     /// # Errors
     ///
-    /// All faults found in `text`.
+    /// Returns all problems found in `text`.
     pub fn from_text(file: &str, text: &str) -> Result<Self, ConfigError> {
         let mut check = Checker::new(file, text);
         let limits: Self = check.parse().unwrap_or_default();
@@ -136,20 +136,20 @@
         );
         check.range("callers.idle_timeout_ms", callers.idle_timeout_ms.unwrap_or(10), 10..=3_600_000);
         for distance in &limits.distances {
-            let are_names = is_name(&distance.from) && is_name(&distance.to);
-            check.ensure(are_names, "distance", "from and to must name data centres");
+            let are_valid_names = is_name(&distance.from) && is_name(&distance.to);
+            check.ensure(are_valid_names, "distance", "from and to must be valid names of data centres");
             check.range("distance.one_way_us", distance.one_way_us, 0..=1_000_000);
         }
         check.finish().map(|()| limits)
     }
 
-    /// One-way time between two data centres in µs; 0 within one.
+    /// Returns the one-way latency between two data centres in µs; 0 within one data centre.
     pub fn distance_us(&self, a: &str, b: &str) -> u64 {
         if a == b {
             return 0;
         }
-        let joins = |d: &&Distance| (d.from == a && d.to == b) || (d.from == b && d.to == a);
-        let distance = self.distances.iter().find(joins);
+        let connects = |d: &&Distance| (d.from == a && d.to == b) || (d.from == b && d.to == a);
+        let distance = self.distances.iter().find(connects);
         distance.map_or(DISTANCE_DEFAULT_US, |distance| distance.one_way_us)
     }
 }
--- a/crates/laurelstall_config/src/team.rs
+++ b/crates/laurelstall_config/src/team.rs
@@ -1,4 +1,4 @@
-//! One team's document: its callers' host names, its services, their targets, its program.
+//! A team's document: host names of its callers, routes, routing program, services, targets and workspaces.
 
 use crate::{
     problem::{Checker, ConfigError, is_name},
@@ -8,57 +8,57 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
-/// Most services in one team's document.
+/// Maximum number of services in a team's document.
 pub const SERVICES_MAX: usize = 64;
-/// Most targets of one service.
+/// Maximum number of targets of one service.
 pub const TARGETS_MAX: usize = 1_000;
-/// Most requests that one target can run at once.
+/// Maximum number of concurrent requests that a target may declare.
 pub const SLOTS_MAX: u32 = 100_000;
-/// Longest program in bytes.
+/// Maximum length of a routing program in bytes.
 pub const PROGRAM_BYTES_MAX: usize = 64 * 1024;
 
-/// Header by which a target marks an answer as shed before anything ran.
+/// Header by which a target marks an answer to a request that it rejected before running any of it.
 pub const SHED_HEADER: &str = "laurelstall-shed";
 
-/// Limits of one service, for its guards and for the entries that call it.
+/// Limits of a service, for the guards of its targets and for the entry nodes that call it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceLimits {
-    /// Calls that may wait at one guard, for each slot of its target.
+    /// Maximum length of a guard's queue, per slot of its target.
     pub queue_per_slot: u32,
-    /// Longest wait at one guard in ms.
+    /// Maximum time that a call waits in a guard's queue in ms.
     pub queue_wait_max_ms: u64,
-    /// Whether calls wait for a slow target to be quick again where that is worth more than to begin.
+    /// Whether a guard may hold calls until its target's slow phase ends, if they are then more likely to be in time.
     pub may_hold: bool,
-    /// Most times a call is handed back while it waits; 0 turns handing back off.
+    /// Maximum number of times that a waiting call is handed back to its entry node; 0 disables handing back.
     pub hand_backs_max: u32,
-    /// What the limit on a target's concurrency starts at, in percent of its slots.
+    /// Initial concurrency limit of a target, in percent of its slots.
     pub slots_start_percent: u32,
-    /// Smallest share of a target's slots that the limit may fall to, in percent.
+    /// Minimum concurrency limit of a target, in percent of its slots.
     pub slots_floor_percent: u32,
-    /// Largest share of a service's targets that may be ejected, in percent.
+    /// Maximum share of the service's targets that may be ejected as outliers, in percent.
     pub ejected_max_percent: u32,
-    /// How long an ejected target stays out the first time, in ms.
+    /// Duration of a target's first ejection in ms.
     pub ejection_ms: u64,
-    /// Ramp of a target that is new or was ejected, in ms.
+    /// Duration of the slow start of a target that is new or was ejected, in ms.
     pub slow_start_ms: u64,
-    /// Most calls that a cold target may get within any second: above, it fails. 0 when nothing bounds them.
+    /// Maximum number of calls that a cold target may get within any second, above which it fails; 0 for no limit.
     pub cold_calls_per_s: u32,
-    /// How long a target is cold after a start, in ms; 0 when nothing says so.
+    /// Duration of a target's cold start in ms; 0 if unknown.
     pub cold_start_ms: u64,
-    /// Retries as a share of successful calls, in percent.
+    /// Retry budget in percent of successful calls.
     pub retry_percent: u32,
-    /// Retries that all nodes together may make in ten seconds beyond that share.
+    /// Number of retries that all nodes together may make in ten seconds on top of `retry_percent`.
     pub retry_reserve: u32,
-    /// Hedges as a share of calls, in percent.
+    /// Hedge budget in percent of calls.
     pub hedge_percent: u32,
-    /// Status that, together with [`SHED_HEADER`], says a target ran nothing; 0 for none.
+    /// Status of answers with [`SHED_HEADER`] to requests that did not run; 0 for none.
     pub shed_status: u16,
-    /// Most tickets open at one guard.
+    /// Maximum number of open tickets at one guard.
     pub tickets_max: usize,
     /// Lifetime of a ticket in ms.
     pub ticket_lifetime_ms: u64,
-    /// Largest answer kept for a repeated ticket in bytes.
+    /// Maximum size of an answer that a guard stores for a repeated use of its ticket, in bytes.
     pub kept_answer_bytes: usize,
 }
 
@@ -110,20 +110,20 @@
     }
 }
 
-/// One target of a service.
+/// A target of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     /// The target's name, unique in its service.
     pub name: String,
-    /// The host it runs on; that host's node is its guard.
+    /// Name of the host that the target runs on; the node on this host is the target's guard.
     pub host: String,
-    /// Requests it can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections it takes.
+    /// Maximum number of concurrent connections.
     #[serde(default = "connections_default")]
     pub connections: u32,
-    /// When it started, in ms of Unix time, as it registered itself; 0 when that is not known.
+    /// When the target started according to its registration, in ms of Unix time; 0 if unknown.
     #[serde(skip)]
     pub started_unix_ms: u64,
 }
@@ -132,37 +132,45 @@
     200
 }
 
-/// One service of a team.
+/// A service of a team.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// The service's name, unique in its team.
     pub name: String,
-    /// Path at which a target tells its load at once; empty when there is none.
+    /// Path at which targets report their load; empty if there is none.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub load_path: String,
-    /// Its limits.
+    /// The service's limits.
     #[serde(default)]
     pub limits: ServiceLimits,
-    /// Its targets.
+    /// The service's targets.
     #[serde(default, rename = "target")]
     pub targets: Vec<Target>,
 }
 
 impl Service {
     fn check(&self, check: &mut Checker<'_>) {
-        check.ensure(is_name(&self.name), "service.name", &format!("'{}' is not a name", self.name));
+        check.ensure(
+            is_name(&self.name),
+            "service.name",
+            &format!("'{}' is not 1 to 63 of a-z, 0-9 and '-'", self.name),
+        );
         check.ensure(self.targets.len() <= TARGETS_MAX, "target", "too many targets");
         let is_path = self.load_path.is_empty() || self.load_path.starts_with('/');
-        check.ensure(is_path, "service.load_path", "it must begin with a slash");
+        check.ensure(is_path, "service.load_path", "must start with a slash");
         self.limits.check(check);
         let mut names = HashSet::new();
         let mut hosts = HashSet::new();
         for target in &self.targets {
             let name = &target.name;
-            check.ensure(is_name(name), "target.name", &format!("'{name}' is not a name"));
-            check.ensure(names.insert(name), "target.name", &format!("'{name}' stands twice"));
-            let message = format!("'{}' has two targets of one service", target.host);
+            check.ensure(
+                is_name(name),
+                "target.name",
+                &format!("'{name}' is not 1 to 63 of a-z, 0-9 and '-'"),
+            );
+            check.ensure(names.insert(name), "target.name", &format!("'{name}' is listed twice"));
+            let message = format!("host '{}' has two targets of one service", target.host);
             check.ensure(hosts.insert(&target.host), "target.host", &message);
             check.range("target.slots", target.slots, 1..=SLOTS_MAX);
             check.range("target.connections", target.connections, 1..=100_000);
@@ -174,45 +182,49 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// The team's name; the document's name must say the same.
+    /// The team's name, which must be the one in the document's name.
     pub team: String,
-    /// Host names that callers of this team use, without port; those of routes count as named.
+    /// Host names that callers of this team use, without ports, in addition to those of `routes`.
     #[serde(default)]
     pub caller_hosts: Vec<String>,
-    /// The routing program, for requests that no route fits; empty for none.
+    /// The routing program for requests that match no route; empty for none.
     #[serde(default)]
     pub program: String,
-    /// Whether callers must bring the key of a workspace, except on routes that are public.
+    /// Whether callers must send the key of a workspace, except on public routes.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub needs_keys: bool,
-    /// Routes that need no program.
+    /// Routes, which take precedence over the routing program.
     #[serde(default, rename = "route")]
     pub routes: Vec<RouteRule>,
     /// The team's services.
     #[serde(default, rename = "service")]
     pub services: Vec<Service>,
-    /// The workspaces whose calls it takes.
+    /// The team's workspaces.
     #[serde(default, rename = "workspace", skip_serializing_if = "Vec::is_empty")]
     pub workspaces: Vec<Workspace>,
 }
 
 impl Team {
-    /// Reads and checks a team's document.
+    /// Parses and checks a team's document; `file` is its name in error messages.
     ///
     /// # Errors
     ///
-    /// All faults found in `text`.
+    /// Returns all problems found in `text`.
     pub fn from_text(file: &str, text: &str) -> Result<Self, ConfigError> {
         let mut check = Checker::new(file, text);
         let Some(team) = check.parse::<Self>() else {
-            return Err(check.finish().expect_err("parsing noted a problem"));
+            return Err(check.finish().expect_err("parsing added a problem"));
         };
-        check.ensure(is_name(&team.team), "team", &format!("'{}' is not a name", team.team));
+        check.ensure(
+            is_name(&team.team),
+            "team",
+            &format!("'{}' is not 1 to 63 of a-z, 0-9 and '-'", team.team),
+        );
         let has_hosts = !team.caller_hosts.is_empty() || !team.routes.is_empty();
         check.ensure(has_hosts, "caller_hosts", "must name at least one host");
         for host in &team.caller_hosts {
             let is_host = !host.is_empty() && !host.contains([':', '/', ' ']);
-            check.ensure(is_host, "caller_hosts", &format!("'{host}' is not a host name without port"));
+            check.ensure(is_host, "caller_hosts", &format!("'{host}' must be a host name without a port"));
         }
         let program_bytes_min = usize::from(team.routes.is_empty());
         check.range("program", team.program.len(), program_bytes_min..=PROGRAM_BYTES_MAX);
@@ -220,7 +232,7 @@
         check.range("service", team.services.len(), 1..=SERVICES_MAX);
         let mut names = HashSet::new();
         for service in &team.services {
-            let message = format!("'{}' stands twice", service.name);
+            let message = format!("'{}' is listed twice", service.name);
             check.ensure(names.insert(&service.name), "service.name", &message);
             service.check(&mut check);
         }
@@ -232,7 +244,7 @@
         check.finish().map(|()| team)
     }
 
-    /// The service called `name`.
+    /// Finds a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
--- a/crates/laurelstall_config/src/workspace.rs
+++ b/crates/laurelstall_config/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: whose calls a team's services take, by the keys that callers bring.
+//! Workspaces: groups of a team's callers, identified by their keys, with an importance, a share and a rate limit.
 
 use crate::{
     key_digest::KeyDigest,
@@ -8,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
-/// Most workspaces of one team: a document of a megabyte holds about so many.
+/// Maximum number of workspaces of one team; about as many fit into the largest document.
 pub const WORKSPACES_MAX: usize = 10_000;
-/// Longest name of a workspace in bytes: it travels in a header field of each call.
+/// Maximum length of a workspace's name in bytes; the name is sent in a header field of each call.
 pub const WORKSPACE_NAME_BYTES_MAX: usize = 200;
-/// Largest quota in calls a second, and largest burst in calls: far above what a fleet of a thousand hosts serves.
+/// Maximum rate of a quota in calls per second, and maximum burst in calls.
 const QUOTA_MAX: f64 = 1e9;
-/// Largest weight of a workspace.
+/// Maximum weight of a workspace.
 const WEIGHT_MAX: u32 = 1_000;
 
-/// How much a workspace may call, counted over all nodes together.
+/// The rate limit of a workspace, summed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Quota {
-    /// Calls a second for long.
+    /// Sustained rate in calls per second.
     pub calls_per_s: f64,
-    /// Calls above that at once.
+    /// Burst: number of calls that may come at once on top of the rate.
     #[serde(default)]
     pub burst: f64,
 }
@@ -32,21 +32,21 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Its name, unique in its team; targets are told it.
+    /// The workspace's name, unique in its team; targets receive it in a header field.
     pub name: String,
-    /// Digests of its callers' keys.
+    /// Digests of the keys of the workspace's callers.
     #[serde(default)]
     pub keys: Vec<KeyDigest>,
-    /// Importance of its calls, 0 to 9, before that of their routes; none when the routes alone decide.
+    /// Importance of the workspace's calls, 0 to 9, which overrides that of their routes; `None` if the route decides.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub importance: Option<u8>,
-    /// Its part of a busy target, relative to the other workspaces that call it.
+    /// The workspace's share of a busy target, relative to the other workspaces that call the target.
     #[serde(default = "weight_default")]
     pub weight: u32,
-    /// Data centres that its calls may be served in; empty for all.
+    /// Data centres in which the workspace's calls may be served; empty for all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub data_centres: Vec<String>,
-    /// How much it may call; none for any amount.
+    /// The workspace's rate limit; `None` if its calls are not limited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<Quota>,
 }
@@ -56,7 +56,7 @@
 }
 
 impl Workspace {
-    /// A workspace without keys, quota or wishes.
+    /// Creates a workspace without keys and quota, whose calls may be served in all data centres.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -68,17 +68,18 @@
         }
     }
 
-    /// Notes all faults of a team's workspaces, among them keys that two of them have.
+    /// Reports all problems of a team's workspaces, including keys that two of them share.
     pub fn check_all(workspaces: &[Self], check: &mut Checker<'_>) {
         check.range("workspace", workspaces.len(), 0..=WORKSPACES_MAX);
         let mut names = HashSet::new();
         let mut keys = HashSet::new();
         for workspace in workspaces {
             let name = &workspace.name;
-            check.ensure(names.insert(name), "workspace.name", &format!("'{name}' stands twice"));
+            check.ensure(names.insert(name), "workspace.name", &format!("'{name}' is listed twice"));
             workspace.check(check);
             for key in &workspace.keys {
-                let message = format!("a key of '{name}' stands twice, here or in another workspace");
+                let message =
+                    format!("a key of '{name}' is listed twice, in this workspace or in another one");
                 if !keys.insert(key) {
                     check.fault_at(&key.to_string(), "workspace.keys", &message);
                 }
@@ -88,9 +89,9 @@
 
     fn check(&self, check: &mut Checker<'_>) {
         let name = &self.name;
-        let is_visible = name.bytes().all(|byte| byte.is_ascii_graphic());
-        let is_name_right = is_visible && (1..=WORKSPACE_NAME_BYTES_MAX).contains(&name.len());
-        check.ensure(is_name_right, "workspace.name", "must be 1 to 200 visible ASCII characters");
+        let is_printable = name.bytes().all(|byte| byte.is_ascii_graphic());
+        let is_valid_name = is_printable && (1..=WORKSPACE_NAME_BYTES_MAX).contains(&name.len());
+        check.ensure(is_valid_name, "workspace.name", "must be 1 to 200 visible ASCII characters");
         let importance = self.importance.unwrap_or(0);
         check.range("workspace.importance", importance, 0..=ROUTE_IMPORTANCE_MAX);
         check.range("workspace.weight", self.weight, 1..=WEIGHT_MAX);
@@ -102,9 +103,9 @@
     }
 }
 
-/// Notes names of data centres that cannot be any.
+/// Reports the names in `data_centres` that are not valid.
 pub(crate) fn check_data_centres(data_centres: &[String], field: &str, check: &mut Checker<'_>) {
     for name in data_centres {
-        check.ensure(is_name(name), field, &format!("'{name}' is not a name"));
+        check.ensure(is_name(name), field, &format!("'{name}' is not 1 to 63 of a-z, 0-9 and '-'"));
     }
 }
--- a/crates/laurelstall_config/tests/documents.rs
+++ b/crates/laurelstall_config/tests/documents.rs
@@ -1,4 +1,4 @@
-//! What is accepted, what is refused, and how it is said.
+//! Settings and documents: which ones are accepted and how problems are reported.
 
 use laurelstall_config::{
     configuration::{Checked, Configuration},
@@ -34,23 +34,28 @@
 }
 
 #[test]
-fn a_list_written_as_json_says_the_same_and_its_faults_are_found() {
+fn a_fleet_document_in_json_is_parsed_and_checked_like_toml() {
     let host =
         "{\"name\":\"a-1\",\"node_address\":\"127.0.0.1:7070\",\"data_centre\":\"sv-1\",\"state\":\"live\"}";
     let json = format!("{{\"host\":[{host}]}}");
     let toml = "[[host]]\nname = \"a-1\"\nnode_address = \"127.0.0.1:7070\"\ndata_centre = \"sv-1\"\nstate = \"live\"\n";
     let read = |text: &str| Fleet::from_text("fleet", text);
-    assert_eq!(read(&json).expect("it is right"), read(toml).expect("it is right"));
+    assert_eq!(read(&json).expect("it is valid"), read(toml).expect("it is valid"));
     let twice = format!("{{\"host\":[{host},{host}]}}");
-    assert!(read(&twice).expect_err("two have one name").to_string().contains("stands twice"));
+    assert!(
+        read(&twice)
+            .expect_err("two hosts have the same name")
+            .to_string()
+            .contains("host 'a-1' is listed twice")
+    );
     let unknown = "{\n\"hosts\":[]}";
-    let error = read(unknown).expect_err("no field is called so");
+    let error = read(unknown).expect_err("there is no such field");
     assert_eq!(error.problems()[0].line, 2, "{error}");
     assert!(read("{\"host\":[").is_err());
 }
 
 #[test]
-fn a_host_is_found_by_its_name_in_the_list_in_force() {
+fn a_host_is_found_by_name_in_the_latest_list_only() {
     let list = |names: &[&str]| {
         let host = |name: &&str| {
             format!(
@@ -61,7 +66,7 @@
         Document { name: DocumentName::Fleet, version: Version::new(1), text }
     };
     let with = |configuration: &Configuration, names: &[&str]| {
-        let checked = Checked::from_document(&list(names)).expect("it is right");
+        let checked = Checked::from_document(&list(names)).expect("it is valid");
         configuration.with_document(&DocumentName::Fleet, Version::new(1), checked)
     };
     let first = with(&Configuration::default(), &["a-1", "a-2"]);
@@ -72,23 +77,26 @@
 
 #[test]
 fn settings_have_defaults() {
-    let settings = Settings::from_text("node.toml", SETTINGS).expect("the settings are right");
+    let settings = Settings::from_text("node.toml", SETTINGS).expect("the settings are valid");
     assert_eq!(settings.callers.depth_max, 16);
     assert!(settings.target.is_none());
 }
 
 #[test]
-fn all_faults_are_said_at_once_with_file_line_and_field() {
+fn all_problems_are_reported_at_once_with_file_line_and_field() {
     let text = format!("{SETTINGS}watch_wait_ms = 1\n[callers]\nconnections = 0\nstreams = 99999\n");
     let error = Settings::from_text("node.toml", &text).expect_err("three fields are out of range");
-    let said = error.problems().iter().map(ToString::to_string).collect::<Vec<_>>();
-    assert_eq!(said.len(), 3, "{said:?}");
-    assert!(said[0].starts_with("node.toml:11: platform.watch_wait_ms: 1 is not in"), "{said:?}");
-    assert!(said[1].starts_with("node.toml:13: callers.connections"), "{said:?}");
+    let reported = error.problems().iter().map(ToString::to_string).collect::<Vec<_>>();
+    assert_eq!(reported.len(), 3, "{reported:?}");
+    assert!(
+        reported[0].starts_with("node.toml:11: platform.watch_wait_ms: 1 is not in the range"),
+        "{reported:?}"
+    );
+    assert!(reported[1].starts_with("node.toml:13: callers.connections"), "{reported:?}");
 }
 
 #[test]
-fn unknown_fields_are_refused() {
+fn unknown_fields_are_rejected() {
     let error =
         Settings::from_text("node.toml", &SETTINGS.replace("host =", "hostt =")).expect_err("no such field");
     assert!(error.to_string().contains("hostt"), "{error}");
@@ -97,7 +105,7 @@
 }
 
 #[test]
-fn names_cannot_collide() {
+fn invalid_names_are_rejected() {
     for name in ["a/b", "A", "", "a b", "ä"] {
         let text = team_text("t", "h").replace("name = \"s\"", &format!("name = \"{name}\""));
         assert!(Team::from_text("team", &text).is_err(), "'{name}' was accepted");
@@ -105,33 +113,33 @@
 }
 
 #[test]
-fn a_document_must_be_of_the_team_it_is_published_for() {
+fn a_document_that_names_another_team_is_rejected() {
     let document = Document { name: DocumentName::Team("b".to_owned()), ..team_document("a", "h") };
     assert!(Checked::from_document(&document).is_err());
 }
 
 #[test]
-fn a_claimed_host_goes_to_the_same_team_whatever_came_first() {
+fn a_host_name_claimed_twice_goes_to_the_same_team_in_any_order_of_documents() {
     let (a, b) = (team_document("a", "shop.example"), team_document("b", "shop.example"));
     let build = |documents: [&Document; 2]| {
         let mut configuration = Configuration::default();
         for document in documents {
-            let checked = Checked::from_document(document).expect("each alone is right");
+            let checked = Checked::from_document(document).expect("each document alone is valid");
             configuration = configuration.with_document(&document.name, Version::new(1), checked);
         }
         configuration
     };
     for configuration in [build([&a, &b]), build([&b, &a])] {
-        let team = configuration.team_of_caller_host("shop.example").expect("one of them holds it");
+        let team = configuration.team_of_caller_host("shop.example").expect("one of the teams gets it");
         assert_eq!(team.team, "a");
         assert_eq!(configuration.caller_host_conflicts().len(), 1);
     }
 }
 
 #[test]
-fn distances_count_both_ways() {
+fn distances_apply_in_both_directions() {
     let text = "[[distance]]\nfrom = \"a\"\nto = \"b\"\none_way_us = 7\n";
-    let limits = SystemLimits::from_text("system", text).expect("right");
+    let limits = SystemLimits::from_text("system", text).expect("it is valid");
     assert_eq!(
         (limits.distance_us("a", "b"), limits.distance_us("b", "a"), limits.distance_us("a", "a")),
         (7, 7, 0)
@@ -139,7 +147,7 @@
 }
 
 #[test]
-fn any_text_is_read_without_a_panic() {
+fn parsing_any_text_does_not_panic() {
     bolero::check!().with_type::<String>().with_iterations(2_000).for_each(|text| {
         let _ = Settings::from_text("any", text);
         let _ = Team::from_text("any", text);
@@ -149,7 +157,7 @@
 }
 
 #[test]
-fn a_right_text_with_any_byte_changed_is_read_without_a_panic() {
+fn parsing_a_document_with_one_byte_changed_does_not_panic() {
     let text = team_text("a", "shop.example");
     bolero::check!().with_type::<(usize, char)>().with_iterations(4_000).for_each(|(at, character)| {
         let mut changed = text.clone();
@@ -160,22 +168,22 @@
 }
 
 #[test]
-fn a_stop_ends_within_the_time_until_the_process_is_killed() {
+fn a_graceful_shutdown_ends_before_the_process_is_killed() {
     let limit_ms = |lines: &str| {
         let text = SETTINGS.replace("[node]\n", &format!("[node]\n{lines}\n"));
-        Settings::from_text("node.toml", &text).expect("it is right").node.stop_limit_ms()
+        Settings::from_text("node.toml", &text).expect("it is valid").node.stop_limit_ms()
     };
-    assert_eq!(limit_ms("stop_max_ms = 30000"), 30_000, "nothing says when it is killed");
+    assert_eq!(limit_ms("stop_max_ms = 30000"), 30_000, "it is unknown when the process is killed");
     assert_eq!(limit_ms("stop_max_ms = 30000\nstop_grace_s = 6"), 5_400);
     assert_eq!(limit_ms("stop_max_ms = 30000\nstop_grace_s = 10"), 9_000);
-    assert_eq!(limit_ms("stop_max_ms = 4000\nstop_grace_s = 10"), 4_000, "the node's own limit is shorter");
+    assert_eq!(limit_ms("stop_max_ms = 4000\nstop_grace_s = 10"), 4_000, "stop_max_ms is shorter");
 }
 
 #[test]
-fn bounds_of_the_platform_may_be_fractions() {
-    let bounds = "repeats.reserve = 36.73469387755102\ncold.overrun = 1.5\ncold.slack = 1.63\n";
-    let settings = Settings::from_text("node.toml", &format!("{SETTINGS}{bounds}"));
-    let platform = settings.expect("the settings are right").platform;
+fn limits_of_the_platform_may_be_fractions() {
+    let limits = "repeats.reserve = 36.73469387755102\ncold.overrun = 1.5\ncold.slack = 1.63\n";
+    let settings = Settings::from_text("node.toml", &format!("{SETTINGS}{limits}"));
+    let platform = settings.expect("the settings are valid").platform;
     assert!((platform.repeats.reserve - 36.73).abs() < 0.01);
-    assert_eq!(platform.cold.calls_per_s(3.3), 6, "4.95 and 1.63, in whole calls");
+    assert_eq!(platform.cold.calls_per_s(3.3), 6, "4.95 + 1.63, rounded down");
 }
--- a/crates/laurelstall_config/tests/routes.rs
+++ b/crates/laurelstall_config/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The route table: which route takes a request, how requests are split, and what is refused.
+//! Routes: which route matches a request, how requests are split, and which routes are rejected.
 
 use laurelstall_config::{
     route::{RouteRule, RouteShare, RouteTable},
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn shares_come_out_right_after_few_requests_whatever_the_start() {
+fn each_service_gets_its_share_after_few_requests_with_any_seed() {
     let rules = [rule("a", "/", &[("s", 70), ("t", 25), ("u", 5)])];
     for seed in 0..50 {
         let table = RouteTable::new(&rules, seed);
@@ -57,27 +57,27 @@
 }
 
 #[test]
-fn a_part_of_weight_0_takes_nothing() {
+fn a_service_of_weight_0_gets_no_requests() {
     let table = RouteTable::new(&[rule("a", "/", &[("s", 0), ("t", 1)])], 1);
     assert!((0..100).all(|_| table.find("a", "/").expect("a route").1 == "t"));
 }
 
-fn faults(route: &str) -> usize {
+fn problem_count(route: &str) -> usize {
     let text = format!("team = \"a\"\n[[service]]\nname = \"s\"\n[[route]]\n{route}");
     Team::from_text("team-a.toml", &text).map_or_else(|error| error.problems().len(), |_| 0)
 }
 
 #[test]
-fn faults_of_a_route_are_all_reported() {
-    let right = "name = \"r\"\nhost = \"h\"\npath_prefix = \"/x/\"\ntimeout_ms = 1\n\
+fn all_problems_of_a_route_are_reported() {
+    let valid = "name = \"r\"\nhost = \"h\"\npath_prefix = \"/x/\"\ntimeout_ms = 1\n\
                  latency_objective_ms = 1\ntries = 1\nimportance = 9\n\
                  share = [{ service = \"s\", weight = 1 }]\n";
-    assert_eq!(faults(right), 0);
-    let wrong = right
+    assert_eq!(problem_count(valid), 0);
+    let invalid = valid
         .replace("/x/", "x")
         .replace("tries = 1", "tries = 0")
         .replace("importance = 9", "importance = 10")
         .replace("service = \"s\"", "service = \"other\"");
-    assert_eq!(faults(&wrong), 4);
-    assert_eq!(faults(&right.replace("weight = 1", "weight = 0")), 1);
+    assert_eq!(problem_count(&invalid), 4);
+    assert_eq!(problem_count(&valid.replace("weight = 1", "weight = 0")), 1);
 }
