--- a/crates/laurelstall_cli/tests/check.rs
+++ b/crates/laurelstall_cli/tests/check.rs
@@ -3,7 +3,7 @@
 use http::HeaderMap;
 use laurelstall_cli::check::{FileKind, check_text, decide, detect_kind, explain_route};
 use laurelstall_config::{
-    configuration::{Checked, Configuration},
+    configuration::{CheckedDocument, Configuration},
     document::{Document, DocumentName, Version},
     team::Team,
 };
@@ -28,7 +28,7 @@
             assert_eq!(check_text(file, text), Vec::new(), "{file}");
             let Some(FileKind::Document(name)) = detect_kind(text) else { continue };
             let document = Document { name: name.clone(), version: Version::new(1), text: text.clone() };
-            let checked = Checked::from_document(&document).expect("it was checked");
+            let checked = CheckedDocument::from_document(&document).expect("it was checked");
             configuration = configuration.with_document(&name, Version::new(1), checked);
         }
         assert_eq!(configuration.services().count(), 4, "{name}");
--- a/crates/laurelstall_config/examples/list_cost.rs
+++ b/crates/laurelstall_config/examples/list_cost.rs
@@ -1,7 +1,7 @@
 //! Measures the processor time that a node needs for a changed fleet document, by number of hosts and text format.
 
 use laurelstall_config::{
-    configuration::{Checked, Configuration},
+    configuration::{CheckedDocument, Configuration},
     document::{Document, DocumentName, Version},
     fleet::{Fleet, FleetTarget, Host, HostState, host_name},
     team::{Service, Team},
@@ -29,10 +29,10 @@
 
 fn show(hosts: usize, form: &str, write: impl Fn() -> String) {
     let document = Document { name: DocumentName::Fleet, version: Version::new(1), text: write() };
-    let checked = Checked::from_document(&document).expect("it is valid");
+    let checked = CheckedDocument::from_document(&document).expect("it is valid");
     let before = configuration();
     let wrote = shortest(|| drop(black_box(write())));
-    let read = shortest(|| drop(black_box(Checked::from_document(&document))));
+    let read = shortest(|| drop(black_box(CheckedDocument::from_document(&document))));
     let indexed = shortest(|| {
         let configuration = before.with_document(&DocumentName::Fleet, Version::new(1), checked.clone());
         let found = configuration.services().flat_map(|(_, service)| &service.targets);
@@ -55,7 +55,7 @@
     let services = (0..SERVICES).map(|n| Service { name: format!("service-{n}"), ..Service::default() });
     let team = Team { team: "main".to_owned(), services: services.collect(), ..Team::default() };
     let name = DocumentName::Team(team.team.clone());
-    Configuration::default().with_document(&name, Version::new(1), Checked::Team(Box::new(team)))
+    Configuration::default().with_document(&name, Version::new(1), CheckedDocument::Team(Box::new(team)))
 }
 
 fn fleet(hosts: usize) -> Fleet {
--- a/crates/laurelstall_config/src/configuration.rs
+++ b/crates/laurelstall_config/src/configuration.rs
@@ -15,7 +15,7 @@
 
 /// A parsed and valid document.
 #[derive(Debug, Clone)]
-pub enum Checked {
+pub enum CheckedDocument {
     /// The list of hosts.
     Fleet(Arc<Fleet>),
     /// The limits of the whole system.
@@ -24,7 +24,7 @@
     Team(Box<Team>),
 }
 
-impl Checked {
+impl CheckedDocument {
     /// Parses and checks a document.
     ///
     /// # Errors
@@ -72,18 +72,18 @@
 
 impl Configuration {
     /// Returns a copy of this configuration in which a document is added or replaced.
-    pub fn with_document(&self, name: &DocumentName, version: Version, checked: Checked) -> Self {
+    pub fn with_document(&self, name: &DocumentName, version: Version, checked: CheckedDocument) -> Self {
         let mut next = self.clone();
         next.versions.insert(name.clone(), version);
         match checked {
-            Checked::Fleet(fleet) => {
+            CheckedDocument::Fleet(fleet) => {
                 let indexes = fleet.hosts.iter().enumerate().map(|(index, host)| (host.name.clone(), index));
                 next.host_indexes = Arc::new(indexes.collect());
                 next.fleet = fleet;
                 next.index_services();
             }
-            Checked::System(system) => next.system = Arc::new(system),
-            Checked::Team(team) => {
+            CheckedDocument::System(system) => next.system = Arc::new(system),
+            CheckedDocument::Team(team) => {
                 let table = RouteTable::new(&team.routes, rand::random());
                 next.routes.insert(team.team.clone(), Arc::new(table));
                 next.teams.insert(team.team.clone(), Arc::from(team));
--- a/crates/laurelstall_config/src/fleet.rs
+++ b/crates/laurelstall_config/src/fleet.rs
@@ -137,7 +137,7 @@
     /// such targets.
     ///
     /// A host that this fleet still lists gets none of its earlier targets back.
-    pub fn with_lost_targets(&self, before: &Self) -> Option<Self> {
+    pub fn with_dropped_targets(&self, before: &Self) -> Option<Self> {
         let mut kept = self.clone();
         let listed = self.hosts.iter().map(|host| host.name.as_str()).collect::<HashSet<_>>();
         let dropped = before.hosts.iter().filter(|host| !listed.contains(host.name.as_str()));
@@ -157,7 +157,7 @@
     }
 
     /// Whether targets on `host` get new calls: the host is live and its data centre is not evacuated.
-    pub fn takes_calls(&self, host: &Host) -> bool {
+    pub fn accepts_calls(&self, host: &Host) -> bool {
         host.state == HostState::Live && !self.is_evacuated(&host.data_centre)
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Whether a host of the fleet has a node at this address.
-    pub fn is_node(&self, address: SocketAddr) -> bool {
+    pub fn has_node(&self, address: SocketAddr) -> bool {
         self.hosts.iter().any(|host| host.node_address == address)
     }
 
--- a/crates/laurelstall_config/src/key_digest.rs
+++ b/crates/laurelstall_config/src/key_digest.rs
@@ -29,7 +29,7 @@
             display("a key has {bytes} bytes, {KEY_BYTES_MAX} is the most")
         }
         /// The text is not a digest in hexadecimal digits.
-        NoDigest {
+        InvalidDigest {
             display("a key's digest must be {} hexadecimal digits", 2 * KEY_DIGEST_BYTES)
         }
     }
@@ -93,12 +93,12 @@
     fn from_str(text: &str) -> Result<Self, KeyError> {
         let is_hex = text.len() == 2 * KEY_DIGEST_BYTES && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !is_hex {
-            return Err(KeyError::NoDigest);
+            return Err(KeyError::InvalidDigest);
         }
         let mut digest = [0; KEY_DIGEST_BYTES];
         for (index, byte) in digest.iter_mut().enumerate() {
             let pair = &text[2 * index..2 * index + 2];
-            *byte = u8::from_str_radix(pair, 16).map_err(|_| KeyError::NoDigest)?;
+            *byte = u8::from_str_radix(pair, 16).map_err(|_| KeyError::InvalidDigest)?;
         }
         Ok(Self(digest))
     }
--- a/crates/laurelstall_config/src/problem.rs
+++ b/crates/laurelstall_config/src/problem.rs
@@ -76,7 +76,7 @@
             Err(error) => error,
         };
         let line = error.span().map_or(0, |span| self.line_of_offset(span.start));
-        self.push(line, "", error.message());
+        self.add_problem_at_line(line, "", error.message());
         None
     }
 
@@ -84,7 +84,7 @@
         match serde_json::from_str(self.text) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.push(error.line(), "", &error.to_string());
+                self.add_problem_at_line(error.line(), "", &error.to_string());
                 None
             }
         }
@@ -99,30 +99,30 @@
             return;
         }
         let message = format!("{value} is not in the range {} to {}", range.start(), range.end());
-        self.fault(field, &message);
+        self.add_problem(field, &message);
     }
 
     /// Adds a problem of `field` unless `is_valid` holds.
     pub fn ensure(&mut self, is_valid: bool, field: &str, message: &str) {
         if !is_valid {
-            self.fault(field, message);
+            self.add_problem(field, message);
         }
     }
 
     /// Adds a problem of `field`, at the first line that sets a key with the last part of the field's name.
-    pub fn fault(&mut self, field: &str, message: &str) {
+    pub fn add_problem(&mut self, field: &str, message: &str) {
         let key = field.rsplit('.').next().unwrap_or(field);
-        self.push(self.line_of_key(key), field, message);
+        self.add_problem_at_line(self.line_of_key(key), field, message);
     }
 
     /// Adds a problem of `field` at the last line that contains `text`.
-    pub fn fault_at(&mut self, text: &str, field: &str, message: &str) {
+    pub fn add_problem_at_text(&mut self, text: &str, field: &str, message: &str) {
         let line = self.text.rfind(text).map_or(0, |offset| self.line_of_offset(offset));
-        self.push(line, field, message);
+        self.add_problem_at_line(line, field, message);
     }
 
     /// Adds a problem of `field` at this line.
-    pub fn push(&mut self, line: usize, field: &str, message: &str) {
+    pub fn add_problem_at_line(&mut self, line: usize, field: &str, message: &str) {
         self.problems.push(Problem {
             file: self.file.to_owned(),
             line,
--- a/crates/laurelstall_config/src/route.rs
+++ b/crates/laurelstall_config/src/route.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns all routes whose host and prefix match a request, the one that applies first.
-    pub fn fitting(&self, host: &str, path: &str) -> Vec<&Arc<RouteRule>> {
+    pub fn matching_rules(&self, host: &str, path: &str) -> Vec<&Arc<RouteRule>> {
         self.entries(host, path).map(|entry| &entry.rule).collect()
     }
 
--- a/crates/laurelstall_config/src/settings.rs
+++ b/crates/laurelstall_config/src/settings.rs
@@ -44,7 +44,7 @@
 impl NodeSettings {
     /// Returns the maximum duration of a graceful shutdown in ms: the lower of the limits that `stop_max_ms` and
     /// `stop_grace_s` set.
-    pub fn stop_limit_ms(&self) -> u64 {
+    pub fn effective_stop_max_ms(&self) -> u64 {
         if self.stop_grace_s <= 0.0 {
             return self.stop_max_ms;
         }
--- a/crates/laurelstall_config/src/workspace.rs
+++ b/crates/laurelstall_config/src/workspace.rs
@@ -81,7 +81,7 @@
                 let message =
                     format!("a key of '{name}' is listed twice, in this workspace or in another one");
                 if !keys.insert(key) {
-                    check.fault_at(&key.to_string(), "workspace.keys", &message);
+                    check.add_problem_at_text(&key.to_string(), "workspace.keys", &message);
                 }
             }
         }
--- a/crates/laurelstall_config/tests/documents.rs
+++ b/crates/laurelstall_config/tests/documents.rs
@@ -1,7 +1,7 @@
 //! Settings and documents: which ones are accepted and how problems are reported.
 
 use laurelstall_config::{
-    configuration::{Checked, Configuration},
+    configuration::{CheckedDocument, Configuration},
     document::{Document, DocumentName, Version},
     fleet::Fleet,
     settings::Settings,
@@ -66,7 +66,7 @@
         Document { name: DocumentName::Fleet, version: Version::new(1), text }
     };
     let with = |configuration: &Configuration, names: &[&str]| {
-        let checked = Checked::from_document(&list(names)).expect("it is valid");
+        let checked = CheckedDocument::from_document(&list(names)).expect("it is valid");
         configuration.with_document(&DocumentName::Fleet, Version::new(1), checked)
     };
     let first = with(&Configuration::default(), &["a-1", "a-2"]);
@@ -115,7 +115,7 @@
 #[test]
 fn a_document_that_names_another_team_is_rejected() {
     let document = Document { name: DocumentName::Team("b".to_owned()), ..team_document("a", "h") };
-    assert!(Checked::from_document(&document).is_err());
+    assert!(CheckedDocument::from_document(&document).is_err());
 }
 
 #[test]
@@ -124,7 +124,7 @@
     let build = |documents: [&Document; 2]| {
         let mut configuration = Configuration::default();
         for document in documents {
-            let checked = Checked::from_document(document).expect("each document alone is valid");
+            let checked = CheckedDocument::from_document(document).expect("each document alone is valid");
             configuration = configuration.with_document(&document.name, Version::new(1), checked);
         }
         configuration
@@ -171,7 +171,7 @@
 fn a_graceful_shutdown_ends_before_the_process_is_killed() {
     let limit_ms = |lines: &str| {
         let text = SETTINGS.replace("[node]\n", &format!("[node]\n{lines}\n"));
-        Settings::from_text("node.toml", &text).expect("it is valid").node.stop_limit_ms()
+        Settings::from_text("node.toml", &text).expect("it is valid").node.effective_stop_max_ms()
     };
     assert_eq!(limit_ms("stop_max_ms = 30000"), 30_000, "it is unknown when the process is killed");
     assert_eq!(limit_ms("stop_max_ms = 30000\nstop_grace_s = 6"), 5_400);
--- a/crates/laurelstall_node/src/active_config.rs
+++ b/crates/laurelstall_node/src/active_config.rs
@@ -3,7 +3,7 @@
 use crate::metrics::{latency_histogram, record_us};
 use arc_swap::ArcSwap;
 use laurelstall_config::{
-    configuration::{Checked, Configuration},
+    configuration::{CheckedDocument, Configuration},
     document::{Document, DocumentName},
     fleet::{Fleet, FleetTarget},
     problem::{Checker, ConfigError},
@@ -113,7 +113,7 @@
             log::info!("{missing} targets are still missing from the host list and are removed");
         }
         let version = old.configuration.version(&DocumentName::Fleet);
-        let checked = Checked::Fleet(fleet);
+        let checked = CheckedDocument::Fleet(fleet);
         let configuration = old.configuration.with_document(&DocumentName::Fleet, version, checked);
         self.publish(ConfigSnapshot {
             configuration,
@@ -154,7 +154,7 @@
             return listed;
         }
         drop(retain_until);
-        let Some(extended) = listed.with_lost_targets(before) else { return listed };
+        let Some(extended) = listed.with_dropped_targets(before) else { return listed };
         // Retained targets follow the listed ones.
         let missing = &extended.targets[listed.targets.len()..];
         let count = missing.len();
@@ -194,9 +194,9 @@
 /// # Errors
 ///
 /// Returns all problems found.
-pub fn check_document(document: &Document) -> Result<(Checked, Option<Program>), ConfigError> {
-    let checked = Checked::from_document(document)?;
-    let Checked::Team(team) = &checked else { return Ok((checked, None)) };
+pub fn check_document(document: &Document) -> Result<(CheckedDocument, Option<Program>), ConfigError> {
+    let checked = CheckedDocument::from_document(document)?;
+    let CheckedDocument::Team(team) = &checked else { return Ok((checked, None)) };
     if team.program.is_empty() {
         return Ok((checked, None));
     }
@@ -218,7 +218,7 @@
         ProgramError::Compile(line, _) => *line,
         _ => 0,
     };
-    check.push(start + offset.max(1), "program", &error.to_string());
+    check.add_problem_at_line(start + offset.max(1), "program", &error.to_string());
     check.finish()?;
     unreachable!("a problem was pushed")
 }
@@ -229,9 +229,9 @@
         let _guard = self.update_lock();
         let old = self.snapshot.load_full();
         let checked = match checked {
-            Checked::Fleet(listed) => {
+            CheckedDocument::Fleet(listed) => {
                 let before = &old.configuration.fleet;
-                Checked::Fleet(self.correct_fleet(listed, document.version.era, before))
+                CheckedDocument::Fleet(self.correct_fleet(listed, document.version.era, before))
             }
             other => other,
         };
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -323,7 +323,7 @@
         let Some(host) = host_of(&head.uri, &head.headers) else { return false };
         let team = configuration.team_of_caller_host(&host);
         let table = team.and_then(|team| configuration.routes(&team.team));
-        let rule = table.and_then(|table| table.fitting(&host, head.uri.path()).first().copied());
+        let rule = table.and_then(|table| table.matching_rules(&host, head.uri.path()).first().copied());
         rule.is_some_and(|rule| rule.may_repeat)
     }
 
--- a/crates/laurelstall_node/src/node.rs
+++ b/crates/laurelstall_node/src/node.rs
@@ -440,7 +440,7 @@
         let load = self.guard.guard().load();
         log::info!("stopping: {} calls running at the local target, {} queued", load.in_flight, load.queued);
         self.entry.is_stopping.store(true, Ordering::Relaxed);
-        let limit = Duration::from_millis(self.settings.node.stop_limit_ms());
+        let limit = Duration::from_millis(self.settings.node.effective_stop_max_ms());
         let linger = Duration::from_millis(self.settings.node.stop_linger_ms);
         let stopped = timeout(limit, async {
             sleep(linger).await;
--- a/crates/laurelstall_node/src/services.rs
+++ b/crates/laurelstall_node/src/services.rs
@@ -69,7 +69,7 @@
             let is_far = host.is_some_and(|host| host.data_centre != location.data_centre);
             view.remote_cost_percent =
                 if is_far { configuration.system.data_centre_change_percent } else { 0 };
-            view.is_live = host.is_some_and(|host| configuration.fleet.takes_calls(host));
+            view.is_live = host.is_some_and(|host| configuration.fleet.accepts_calls(host));
             view
         });
         let views = views.collect();
--- a/crates/laurelstall_peer/src/spread.rs
+++ b/crates/laurelstall_peer/src/spread.rs
@@ -259,7 +259,7 @@
     ) {
         // Must precede the documents, since accepting them depends on it.
         self.merge_status(status);
-        let is_known = address.ip() == from || self.view.fleet().is_node(address);
+        let is_known = address.ip() == from || self.view.fleet().has_node(address);
         if !is_known || self.store().behind(&theirs).is_empty() {
             return;
         }
--- a/crates/laurelstall_workspace/tests/keys.rs
+++ b/crates/laurelstall_workspace/tests/keys.rs
@@ -67,5 +67,5 @@
     let digest = KeyDigest::of_key(KEY).expect("the key is valid");
     assert_eq!(format!("{digest:?}"), "KeyDigest(..)");
     assert_eq!(digest.to_string().parse(), Ok(digest));
-    assert_eq!("12".parse::<KeyDigest>(), Err(KeyError::NoDigest));
+    assert_eq!("12".parse::<KeyDigest>(), Err(KeyError::InvalidDigest));
 }
