--- a/crates/laurelstall_node/benches/decisions.rs
+++ b/crates/laurelstall_node/benches/decisions.rs
@@ -137,7 +137,7 @@
     criterion.bench_function("good run noted", |b| b.iter(|| registry.note_success(black_box(digest))));
     for end in 0..40 {
         let digests = (0..12).map(|number| RequestDigest { whole: 100 * end + number, head: 1 });
-        registry.note_end(end, "team/service", &digests.collect::<Vec<_>>());
+        registry.note_crash(end, "team/service", &digests.collect::<Vec<_>>());
     }
     criterion.bench_function("verdict, with 256 requests known", |b| {
         b.iter(|| registry.quarantine_status(black_box(digest)));
--- a/crates/laurelstall_node/src/active_config.rs
+++ b/crates/laurelstall_node/src/active_config.rs
@@ -11,9 +11,9 @@
     team::Team,
 };
 use laurelstall_peer::{
-    carried_news::CarriedNews,
-    recent_fleet::{REGISTER_GRACE, RecentFleet},
-    spread::SpreadView,
+    fleet_corrections::FleetCorrections,
+    fleet_corrector::{FleetCorrector, REGISTRATION_GRACE},
+    replicator::ReplicationView,
     store::Acceptor,
 };
 use laurelstall_policy::program::{Program, ProgramError};
@@ -59,7 +59,7 @@
     /// when none are.
     retain_until: Mutex<Option<Instant>>,
     /// The host list as published, with the corrections that hold after the platform was restored from an older copy.
-    corrector: Mutex<RecentFleet>,
+    corrector: Mutex<FleetCorrector>,
     /// Number of restores of the platform from an older copy, as seen from its host lists.
     pub restores: AtomicU64,
     /// Delay from the first read of a version from the platform to its taking effect at this node.
@@ -134,9 +134,9 @@
     fn correct_fleet(&self, listed: Arc<Fleet>, era: u64, before: &Fleet) -> Arc<Fleet> {
         let now = Instant::now();
         let mut corrector = self.corrector();
-        let is_restored = corrector.take(listed, era, before, now);
+        let is_restored = corrector.update(listed, era, before, now);
         let corrected = corrector.fleet(now);
-        let corrections = is_restored.then(|| corrector.carried_numbers());
+        let corrections = is_restored.then(|| corrector.corrections_summary());
         drop(corrector);
         if let Some(corrections) = corrections {
             self.restores.fetch_add(1, Ordering::Relaxed);
@@ -173,7 +173,7 @@
         self.retain_until.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn corrector(&self) -> MutexGuard<'_, RecentFleet> {
+    fn corrector(&self) -> MutexGuard<'_, FleetCorrector> {
         self.corrector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -251,16 +251,16 @@
         Ok(())
     }
 
-    fn carried_hash(&self) -> u64 {
+    fn corrections_hash(&self) -> u64 {
         self.corrector().hash(Instant::now())
     }
 
-    fn carried(&self) -> Option<CarriedNews> {
-        self.corrector().news(Instant::now())
+    fn corrections(&self) -> Option<FleetCorrections> {
+        self.corrector().corrections(Instant::now())
     }
 
-    fn take_carried(&self, corrections: &CarriedNews) {
-        if self.corrector().take_news(corrections, Instant::now()) {
+    fn merge_corrections(&self, corrections: &FleetCorrections) {
+        if self.corrector().merge(corrections, Instant::now()) {
             log::info!(
                 "the host list is corrected with corrections from another node, era {}",
                 corrections.era
@@ -271,14 +271,14 @@
         self.changed.send_replace(self.snapshot.load().generation);
     }
 
-    fn note_delay(&self, delay_us: u64) {
+    fn record_delay(&self, delay_us: u64) {
         record_us(&self.version_delays, delay_us);
     }
 
-    fn expect_lapsed(&self, outage_end_age_ms: u64) {
+    fn on_platform_outage_end(&self, outage_end_age_ms: u64) {
         // The grace period starts at the end of the outage, even if this node learns of it later: otherwise targets that
         // have left would be retained for too long.
-        let remaining = REGISTER_GRACE.saturating_sub(Duration::from_millis(outage_end_age_ms));
+        let remaining = REGISTRATION_GRACE.saturating_sub(Duration::from_millis(outage_end_age_ms));
         let mut retain_until = self.retain_until();
         if remaining.is_zero() || retain_until.is_some() {
             return;
@@ -290,12 +290,12 @@
     }
 }
 
-impl SpreadView for ActiveConfig {
+impl ReplicationView for ActiveConfig {
     fn fleet(&self) -> Arc<Fleet> {
         self.snapshot.load().configuration.fleet.clone()
     }
 
-    fn spread(&self) -> SpreadLimits {
+    fn spread_limits(&self) -> SpreadLimits {
         self.snapshot.load().configuration.system.spread
     }
 }
--- a/crates/laurelstall_node/src/admin.rs
+++ b/crates/laurelstall_node/src/admin.rs
@@ -26,7 +26,7 @@
     settings::{Role, TokenSettings},
 };
 use laurelstall_crash::crash_table::{QuarantineStatus, SuspectState};
-use laurelstall_peer::{body::AnswerBody, spread::Spread};
+use laurelstall_peer::{body::AnswerBody, replicator::Replicator};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json as value};
 use std::{
@@ -55,7 +55,7 @@
     /// The current configuration.
     pub active: Arc<ActiveConfig>,
     /// Replicates the configuration between nodes.
-    pub spread: Arc<Spread>,
+    pub replicator: Arc<Replicator>,
     /// Counters of the node.
     pub counters: Arc<Counters>,
     /// Bearer tokens. Without any, only clients on loopback have access, and only to read.
@@ -260,8 +260,9 @@
 
     fn ready(&self) -> Answer {
         let is_stopping = self.entry.is_stopping.load(Ordering::Relaxed);
-        let is_ready =
-            self.spread.is_joined() && !self.active.load().configuration.versions.is_empty() && !is_stopping;
+        let is_ready = self.replicator.is_joined()
+            && !self.active.load().configuration.versions.is_empty()
+            && !is_stopping;
         let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         json(status, &value!({ "ready": is_ready }))
     }
@@ -323,7 +324,7 @@
     fn members(&self) -> Value {
         let snapshot = self.active.load();
         let now_us = self.entry.context.clock.now_us();
-        let partners = self.spread.partner_states().into_iter().map(|(address, state)| {
+        let partners = self.replicator.partner_states().into_iter().map(|(address, state)| {
             value!({
                 "address": address.to_string(),
                 "is_reached": state.is_reached,
@@ -345,8 +346,8 @@
         let versions = snapshot.configuration.versions.iter();
         let versions = versions.map(|(name, version)| (name.to_string(), version.to_string().into()));
         // Called before `store` is locked, because it locks the store itself.
-        let platform_era = self.spread.platform_era();
-        let store = self.spread.store();
+        let platform_era = self.replicator.platform_era();
+        let store = self.replicator.store();
         let refused = store.refused().map(|(name, version)| (name.to_string(), version.to_string().into()));
         let conflicts = snapshot.configuration.caller_host_conflicts();
         value!({
@@ -354,8 +355,8 @@
             "refused": serde_json::Map::from_iter(refused),
             "version_conflicts": store.conflicts(),
             "caller_host_conflicts": conflicts,
-            "is_reader": self.spread.is_reader(),
-            "platform_read_age_ms": self.spread.platform_read_age_ms(),
+            "is_reader": self.replicator.is_reader(),
+            "platform_read_age_ms": self.replicator.platform_read_age_ms(),
             "platform_era": platform_era,
             "platform_returns": self.active.restores.load(Ordering::Relaxed),
         })
@@ -400,7 +401,7 @@
 
     /// Lists requests that were running when targets crashed.
     fn quarantined(&self, client: &Client) -> Vec<QuarantineRow> {
-        let states = self.spread.crashes().states().into_iter();
+        let states = self.replicator.crashes().suspects().into_iter();
         states.filter(|state| client.may_see(&state.service)).map(QuarantineRow::from).collect()
     }
 
@@ -410,8 +411,8 @@
             Ok(request) => request,
             Err(answer) => return answer,
         };
-        let crashes = self.spread.crashes();
-        let state = crashes.states().into_iter().find(|state| state.digest.to_string() == request.digest);
+        let crashes = self.replicator.crashes();
+        let state = crashes.suspects().into_iter().find(|state| state.digest.to_string() == request.digest);
         let Some(state) = state.filter(|state| client.may_see(&state.service)) else {
             return problem(StatusCode::NOT_FOUND, "no crash is recorded for a request with this digest");
         };
--- a/crates/laurelstall_node/src/background.rs
+++ b/crates/laurelstall_node/src/background.rs
@@ -11,7 +11,7 @@
 };
 use laurelstall_config::document::DocumentName;
 use laurelstall_guard::clock::Clock;
-use laurelstall_peer::{client::PeerClient, meter::Meter, spread::Spread};
+use laurelstall_peer::{client::PeerClient, meter::Meter, replicator::Replicator};
 use std::sync::{Arc, atomic::Ordering};
 use tokio::time::{Duration, sleep};
 
@@ -45,7 +45,7 @@
 /// Fetches missed updates from peers as soon as the machine resumes from suspension. Runs until dropped.
 ///
 /// A suspended machine misses the updates of its peers, and its next regular exchange may be a second away.
-pub async fn catch_up_after_suspension(clock: Clock, spread: Arc<Spread>) {
+pub async fn catch_up_after_suspension(clock: Clock, replicator: Arc<Replicator>) {
     let mut previous_us = clock.suspended_us();
     loop {
         sleep(SUSPENSION_CHECK_INTERVAL).await;
@@ -56,7 +56,7 @@
         let missed_ms = (suspended_us - previous_us) / 1_000;
         log::warn!("this machine was suspended for {missed_ms} ms: fetching missed updates from peers");
         previous_us = suspended_us;
-        spread.catch_up().await;
+        replicator.catch_up().await;
     }
 }
 
--- a/crates/laurelstall_node/src/call/attempts.rs
+++ b/crates/laurelstall_node/src/call/attempts.rs
@@ -128,7 +128,9 @@
             slow_from_percent: self.slow_from_percent(destination, now_us),
             ticket: self.request.ticket.as_ref().map(|ticket| (ticket.incarnation, ticket.number)),
             body: match &body {
-                AttemptBody::Whole(_) if self.sends_body_after_admission(is_local) => BodyKind::OnGo,
+                AttemptBody::Whole(_) if self.sends_body_after_admission(is_local) => {
+                    BodyKind::BufferedAfterAdmission
+                }
                 AttemptBody::Whole(bytes) if bytes.is_empty() => BodyKind::Empty,
                 AttemptBody::Whole(_) => BodyKind::AtOnce,
                 AttemptBody::Stream(_) => BodyKind::AfterAdmission,
@@ -151,7 +153,7 @@
             };
             let answered = timeout_at(deadline, answered).await;
             answered.unwrap_or_else(|_| {
-                AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("time budget spent")))
+                AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost("time budget spent")))
             })
         }
         .boxed()
--- a/crates/laurelstall_node/src/call/outcomes.rs
+++ b/crates/laurelstall_node/src/call/outcomes.rs
@@ -29,7 +29,7 @@
                 let is_failure = facts.signal == TargetSignal::Failing;
                 (if is_failure { AttemptResult::Failed } else { AttemptResult::NotRun }, facts.name)
             }
-            AttemptOutcome::Unknown(cause) => (AttemptResult::Failed, cause.word()),
+            AttemptOutcome::Unknown(cause) => (AttemptResult::Failed, cause.label()),
         };
         record_us(&self.context.latencies.attempts, took_us);
         self.record_result(destination, result);
--- a/crates/laurelstall_node/src/call/quarantine.rs
+++ b/crates/laurelstall_node/src/call/quarantine.rs
@@ -3,7 +3,7 @@
 use super::Call;
 use laurelstall_crash::{crash_record::CrashReport, crash_table::QuarantineStatus};
 use laurelstall_guard::refusal::{Refusal, RefusalReason};
-use laurelstall_peer::partners::is_tried_by;
+use laurelstall_peer::partners::is_trial_host;
 
 /// Number of target crashes during a request up to which the entry still retries it. A single crash seldom has to do
 /// with a particular request.
@@ -28,13 +28,13 @@
     fn begin_local_trial(&self) -> bool {
         let digest = self.request.digest;
         let fleet = &self.snapshot.configuration.fleet;
-        is_tried_by(fleet, &self.context.host, digest.whole) && self.context.crashes.begin_trial(digest)
+        is_trial_host(fleet, &self.context.host, digest.whole) && self.context.crashes.begin_trial(digest)
     }
 
     /// Whether a request during which a target has just crashed must not be retried.
     pub(super) fn is_crash_suspect(&self, report: Option<CrashReport>) -> bool {
         let crashes = &self.context.crashes;
-        crashes.take_news(report.as_slice());
+        crashes.merge_reports(report.as_slice());
         match crashes.quarantine_status(self.request.digest) {
             QuarantineStatus::Harmless => false,
             QuarantineStatus::Suspected(crash_count) => crash_count > RETRIED_CRASHES_MAX,
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -420,7 +420,7 @@
             let request =
                 TicketsRequest { service: full_name.clone(), target: target.clone(), count: wanted as u32 };
             let Some(address) = service.address(&host) else { continue };
-            let answer = self.context.client.ask(address, &PeerRequest::Tickets(request)).await;
+            let answer = self.context.client.request(address, &PeerRequest::Tickets(request)).await;
             if let Ok(PeerAnswer::Tickets { incarnation, first, count, lifetime_ms }) = answer
                 && count > 0
             {
--- a/crates/laurelstall_node/src/entry/authorization.rs
+++ b/crates/laurelstall_node/src/entry/authorization.rs
@@ -130,7 +130,7 @@
         if self.keys_age_max_ms == 0 {
             return true;
         }
-        self.quotas.spread().documents_age_ms() <= self.keys_age_max_ms
+        self.quotas.replicator().documents_age_ms() <= self.keys_age_max_ms
     }
 
     /// Takes a token from the quota of the caller's workspace; `None` when it has no quota or the call is nested.
--- a/crates/laurelstall_node/src/node.rs
+++ b/crates/laurelstall_node/src/node.rs
@@ -37,8 +37,8 @@
     meter::Meter,
     platform::PlatformSource,
     pool::Pool,
+    replicator::{ReplicationView, Replicator, ReplicatorOptions},
     server::{PeerHandler, PeerServer},
-    spread::{Spread, SpreadOptions, SpreadView},
 };
 use quick_error::quick_error;
 use std::{
@@ -152,7 +152,7 @@
     /// Counters of the node.
     pub counters: Arc<Counters>,
     /// Replicates the configuration between nodes.
-    pub spread: Arc<Spread>,
+    pub replicator: Arc<Replicator>,
     /// The current configuration.
     pub active: Arc<ActiveConfig>,
     /// The guard of the local target.
@@ -173,7 +173,7 @@
 #[derive(Debug)]
 struct PeerRequestHandler {
     guard: TargetGuard,
-    spread: Arc<Spread>,
+    replicator: Arc<Replicator>,
     active: Arc<ActiveConfig>,
     observer: Arc<Observer>,
     quotas: Arc<Quotas>,
@@ -200,21 +200,23 @@
                     PeerAnswer::Probed(may_answer.then(|| self.guard.hint().into()))
                 }
                 PeerRequest::Tickets(request) => self.guard.issue_tickets(&request),
-                PeerRequest::Exchange(exchange) => self.spread.answer_exchange(&exchange),
-                PeerRequest::Pull(items) => self.spread.answer_pull(&items),
+                PeerRequest::Exchange(exchange) => self.replicator.answer_exchange(&exchange),
+                PeerRequest::Pull(items) => self.replicator.answer_pull(&items),
                 PeerRequest::Offer(address, exchange, versions) => {
-                    self.spread.note_offer(from, address, &exchange, versions);
+                    self.replicator.handle_offer(from, address, &exchange, versions);
                     PeerAnswer::Noted
                 }
-                PeerRequest::CanRead => self.spread.answer_can_read(),
-                PeerRequest::CrashNews(reports) => {
-                    self.spread.crashes().take_news(&reports);
+                PeerRequest::CanRead => self.replicator.answer_can_read(),
+                PeerRequest::CrashReports(reports) => {
+                    self.replicator.crashes().merge_reports(&reports);
                     PeerAnswer::Noted
                 }
                 PeerRequest::TakeTokens(key, wanted) => self.quotas.answer_take_tokens(&key, wanted),
                 PeerRequest::ReturnTokens(key, tokens) => self.quotas.answer_return_tokens(&key, tokens),
-                PeerRequest::CompareCrashes(reports) => self.spread.answer_crashes(&reports),
-                PeerRequest::CompareCarried(corrections) => self.spread.answer_carried(corrections.as_ref()),
+                PeerRequest::CompareCrashes(reports) => self.replicator.answer_crashes(&reports),
+                PeerRequest::CompareCorrections(corrections) => {
+                    self.replicator.answer_corrections(corrections.as_ref())
+                }
                 PeerRequest::Attempt(_) => PeerAnswer::Refused(Refusal::new(RefusalReason::Unreadable)),
             }
         }
@@ -247,7 +249,7 @@
         let peer_address = peer_listener.1;
 
         let running = Arc::<RunningRequests>::default();
-        let spread_options = SpreadOptions {
+        let replicator_options = ReplicatorOptions {
             host: host.clone(),
             data_centre: data_centre.clone(),
             peer_address,
@@ -255,8 +257,8 @@
             seed,
         };
         let platform = platform.unwrap_or_else(|| Arc::new(HttpPlatform::new(&settings.platform)));
-        let spread = Spread::new(
-            spread_options,
+        let replicator = Replicator::new(
+            replicator_options,
             clock,
             client.clone(),
             platform.clone(),
@@ -275,7 +277,7 @@
             latencies: latencies.clone(),
             dialect: dialect.clone(),
             running: running.clone(),
-            crashes: spread.crashes().clone(),
+            crashes: replicator.crashes().clone(),
         });
         let quotas = Quotas::new(QuotaOptions {
             clock,
@@ -283,7 +285,7 @@
             data_centre: data_centre.clone(),
             bounds: settings.platform.quota,
             client: client.clone(),
-            spread: spread.clone(),
+            replicator: replicator.clone(),
             active: active.clone(),
             counters: counters.clone(),
         });
@@ -301,7 +303,7 @@
                 counters: counters.clone(),
                 latencies,
                 dialect,
-                crashes: spread.crashes().clone(),
+                crashes: replicator.crashes().clone(),
             },
             own_service: own_service(&settings),
             running: running.clone(),
@@ -326,7 +328,7 @@
         ));
         let peers = PeerRequestHandler {
             guard: guard.clone(),
-            spread: spread.clone(),
+            replicator: replicator.clone(),
             active: active.clone(),
             observer: observer.clone(),
             quotas: quotas.clone(),
@@ -336,13 +338,13 @@
         let peer_server = PeerServer::new(Arc::new(peers), meter.clone());
         background.spawn(peer_server.clone().serve(peer_listener.0));
 
-        spread.join().await;
-        background.spawn(spread.clone().run());
+        replicator.join().await;
+        background.spawn(replicator.clone().run());
         let probe_client = client.clone();
         let probe_observer = observer.clone();
         background.spawn(async move { probe_observer.run_probes(&services, &probe_client).await });
         background.spawn(close_idle(client));
-        background.spawn(catch_up_after_suspension(clock, spread.clone()));
+        background.spawn(catch_up_after_suspension(clock, replicator.clone()));
         background.spawn(async move { quotas.monitor_connectivity().await });
         let watched = guard.clone();
         background.spawn(async move { watched.run_load_queries().await });
@@ -362,7 +364,7 @@
             entry: entry.clone(),
             guard: guard.clone(),
             active: active.clone(),
-            spread: spread.clone(),
+            replicator: replicator.clone(),
             counters: counters.clone(),
             tokens: ArcSwap::from_pointee(settings.tokens.clone()),
             is_loopback: admin_listener.1.ip().is_loopback(),
@@ -400,7 +402,7 @@
             peer_address,
             admin_address: admin_listener.1,
             counters,
-            spread,
+            replicator,
             active,
             guard,
             entry,
@@ -421,7 +423,7 @@
         let new = &self.settings;
         self.caller_limits.set_settings(new.callers);
         self.admin.tokens.store(Arc::new(new.tokens.clone()));
-        self.spread.set_seeds(new.seeds.clone());
+        self.replicator.set_seeds(new.seeds.clone());
         self.platform.set_settings(&new.platform);
         if old.log.level != new.log.level {
             logging::set_level(&new.log.level);
--- a/crates/laurelstall_node/src/observer.rs
+++ b/crates/laurelstall_node/src/observer.rs
@@ -137,7 +137,7 @@
 }
 
 async fn send_probe(client: &PeerClient, address: SocketAddr) -> Option<Hint> {
-    match client.ask(address, &PeerRequest::Probe).await {
+    match client.request(address, &PeerRequest::Probe).await {
         Ok(PeerAnswer::Probed(hint)) => hint.map(Hint::from),
         _ => None,
     }
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -9,7 +9,7 @@
 use laurelstall_peer::{
     client::PeerClient,
     message::{PeerAnswer, PeerRequest},
-    spread::Spread,
+    replicator::Replicator,
 };
 use laurelstall_workspace::{
     owned_shares::{Grant, OwnedShares, ShareKey},
@@ -96,7 +96,7 @@
     /// Client for requests to other nodes.
     pub client: PeerClient,
     /// The distribution of configuration, which knows the age of the platform data.
-    pub spread: Arc<Spread>,
+    pub replicator: Arc<Replicator>,
     /// The configuration in force.
     pub active: Arc<ActiveConfig>,
     /// Event counters of the node.
@@ -133,8 +133,8 @@
     }
 
     /// Returns the distribution of configuration.
-    pub fn spread(&self) -> &Spread {
-        &self.options.spread
+    pub fn replicator(&self) -> &Replicator {
+        &self.options.replicator
     }
 
     /// Takes a token for one call of a workspace.
@@ -217,7 +217,7 @@
         let client = self.options.client.clone();
         let request = PeerRequest::ReturnTokens(token.key.clone(), 1);
         // A return that gets lost costs the workspace one call.
-        tokio::spawn(async move { drop(timeout(OWNER_TIMEOUT, client.ask(owner, &request)).await) });
+        tokio::spawn(async move { drop(timeout(OWNER_TIMEOUT, client.request(owner, &request)).await) });
     }
 
     /// Answers another node's request for tokens.
@@ -283,7 +283,7 @@
             return self.grant(key, 1);
         }
         let request = PeerRequest::TakeTokens(key.clone(), 1);
-        let answer = self.options.client.ask(state.address, &request);
+        let answer = self.options.client.request(state.address, &request);
         match timeout(OWNER_TIMEOUT, answer).await {
             Ok(Ok(PeerAnswer::Tokens(grant))) => grant,
             Ok(Ok(_)) => None,
@@ -321,7 +321,7 @@
     }
 
     fn has_fresh_platform_data(&self) -> bool {
-        self.options.spread.platform_read_age_ms() <= PLATFORM_DATA_AGE_MAX_MS
+        self.options.replicator.platform_read_age_ms() <= PLATFORM_DATA_AGE_MAX_MS
     }
 
     /// Whether half of a sample of other nodes answer. The sample is taken from other data centres if there are any,
@@ -338,7 +338,7 @@
         for address in &sampled {
             let (client, address) = (self.options.client.clone(), *address);
             requests.spawn(async move {
-                timeout(CONNECTIVITY_TIMEOUT, client.ask(address, &PeerRequest::CanRead))
+                timeout(CONNECTIVITY_TIMEOUT, client.request(address, &PeerRequest::CanRead))
                     .await
                     .is_ok_and(|a| a.is_ok())
             });
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -465,13 +465,13 @@
 
 /// Builds the answer for a broken connection; `ended` is the crash record of the request if the target has crashed.
 fn connection_lost(reason: &'static str, ended: Option<CrashReport>) -> AttemptAnswer {
-    let cause = if ended.is_some() { UnknownCause::TargetEnded } else { UnknownCause::Lost(reason) };
+    let cause = if ended.is_some() { UnknownCause::TargetEnded } else { UnknownCause::AnswerLost(reason) };
     AttemptAnswer { ended, ..AttemptAnswer::new(AttemptOutcome::Unknown(cause)) }
 }
 
 /// Builds the answer of an attempt that may have run.
 pub(crate) fn unknown(reason: &'static str) -> AttemptAnswer {
-    AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost(reason)))
+    AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost(reason)))
 }
 
 /// Builds the answer of an attempt that did not run, returning an unread body stream to the entry.
--- a/crates/laurelstall_node/src/target_guard/crash_detection.rs
+++ b/crates/laurelstall_node/src/target_guard/crash_detection.rs
@@ -201,7 +201,7 @@
         }
         log::warn!("own target: '{target}' crashed while these requests were running: {digests}");
         let service = self.settings.as_ref().map_or("", |settings| &settings.service);
-        self.crashes.note_end(self.crash_id(target, ended.number), service, &ended.digests);
+        self.crashes.note_crash(self.crash_id(target, ended.number), service, &ended.digests);
     }
 
     /// Returns the number that identifies the crash on all nodes.
--- a/crates/laurelstall_node/src/target_guard/forwarding.rs
+++ b/crates/laurelstall_node/src/target_guard/forwarding.rs
@@ -69,13 +69,15 @@
         self.dialect.write_attempt(&mut headers, &AttemptInfo { budget_ms, target: &target });
         admission.grant();
         let body = match body {
-            AttemptBody::Stream(body) if head.body == BodyKind::OnGo => match receive_body(body).await {
-                Some(bytes) => AttemptBody::Whole(bytes),
-                None => {
-                    permit.release_uncounted();
-                    return refused(RefusalReason::NoConnection, None);
+            AttemptBody::Stream(body) if head.body == BodyKind::BufferedAfterAdmission => {
+                match receive_body(body).await {
+                    Some(bytes) => AttemptBody::Whole(bytes),
+                    None => {
+                        permit.release_uncounted();
+                        return refused(RefusalReason::NoConnection, None);
+                    }
                 }
-            },
+            }
             body => body,
         };
         // The target may have left while the call waited for the target's name or the body.
--- a/crates/laurelstall_node/src/ticket_runs.rs
+++ b/crates/laurelstall_node/src/ticket_runs.rs
@@ -107,7 +107,7 @@
             }
             Err(_) => {
                 self.ledger().end_unknown(token);
-                AttemptOutcome::Unknown(UnknownCause::Lost("answer broke off"))
+                AttemptOutcome::Unknown(UnknownCause::AnswerLost("answer broke off"))
             }
         }
     }
--- a/crates/laurelstall_node/tests/lapsed.rs
+++ b/crates/laurelstall_node/tests/lapsed.rs
@@ -3,7 +3,7 @@
 use laurelstall_config::document::{Document, DocumentName, Version};
 use laurelstall_node::active_config::ActiveConfig;
 use laurelstall_peer::{
-    carried_news::{CarriedNews, Departed, DepartedHost, HostStart},
+    fleet_corrections::{DepartedHost, Departure, FleetCorrections, HostInstance},
     store::Acceptor,
 };
 use std::{fmt::Write, sync::Arc, thread};
@@ -44,7 +44,7 @@
 async fn targets_missing_after_an_outage_are_kept_until_they_had_time_to_register_again() {
     let active =
         active_with(&fleet_document(1, &[("a", "h-a", "live"), ("b", "h-b", "live"), ("c", "h-c", "live")]));
-    active.expect_lapsed(0);
+    active.on_platform_outage_end(0);
     active.accept(&fleet_document(2, &[("a", "h-a", "live")])).expect("valid fleet document");
     assert_eq!(targets(&active), ["a", "b", "c"]);
     active
@@ -69,7 +69,7 @@
         1,
         &[("a", "h-a", "leaving"), ("b", "h-b", "live"), ("c", "h-c", "live")],
     ));
-    active.expect_lapsed(0);
+    active.on_platform_outage_end(0);
     active.accept(&fleet_document(2, &[("d", "h-b", "live")])).expect("valid fleet document");
     assert_eq!(targets(&active), ["c", "d"]);
 }
@@ -77,7 +77,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_fleet_document_accepted_after_the_grace_period_is_not_reverted() {
     let active = active_with(&fleet_document(1, &[("a", "h-a", "live"), ("b", "h-b", "live")]));
-    active.expect_lapsed(0);
+    active.on_platform_outage_end(0);
     active.accept(&fleet_document(2, &[("a", "h-a", "live")])).expect("valid fleet document");
     advance(Duration::from_millis(2_100)).await;
     active
@@ -95,7 +95,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_late_report_of_the_platforms_return_keeps_targets_only_for_the_rest_of_the_grace_period() {
     let active = active_with(&fleet_document(1, &[("a", "h-a", "live"), ("b", "h-b", "live")]));
-    active.expect_lapsed(1_500);
+    active.on_platform_outage_end(1_500);
     active.accept(&fleet_document(2, &[("a", "h-a", "live")])).expect("valid fleet document");
     assert_eq!(targets(&active), ["a", "b"]);
     advance(Duration::from_millis(600)).await;
@@ -106,7 +106,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_report_of_the_platforms_return_after_the_grace_period_keeps_no_targets() {
     let active = active_with(&fleet_document(1, &[("a", "h-a", "live"), ("b", "h-b", "live")]));
-    active.expect_lapsed(2_500);
+    active.on_platform_outage_end(2_500);
     active.accept(&fleet_document(2, &[("a", "h-a", "live")])).expect("valid fleet document");
     assert_eq!(targets(&active), ["a"]);
 }
@@ -116,12 +116,12 @@
 #[test]
 fn a_configuration_accepted_during_a_concurrent_fleet_update_is_not_lost() {
     let active = active_with(&fleet_document(1, &[("a", "h-a", "live"), ("b", "h-b", "live")]));
-    let corrections = |started_unix_ms: u64| CarriedNews {
+    let corrections = |started_unix_ms: u64| FleetCorrections {
         era: 0,
         age_ms: 0,
         departed: vec![DepartedHost {
-            start: HostStart { host: "h-b".to_owned(), target: "b".to_owned(), started_unix_ms },
-            departed: Departed::Leaving,
+            instance: HostInstance { host: "h-b".to_owned(), target: "b".to_owned(), started_unix_ms },
+            departure: Departure::Leaving,
         }],
         unlisted: "{}".to_owned(),
         evacuations: Vec::new(),
@@ -133,7 +133,7 @@
                 carrying
                     .accept(&fleet_document(2 + round, &[("a", "h-a", "live"), ("b", "h-b", "live")]))
                     .expect("valid fleet document");
-                carrying.take_carried(&corrections(round % 2));
+                carrying.merge_corrections(&corrections(round % 2));
             }
         });
         for number in 1..=ROUNDS {
--- a/crates/laurelstall_peer/examples/carry_cost.rs
+++ b/crates/laurelstall_peer/examples/carry_cost.rs
@@ -2,7 +2,7 @@
 //! the platform, for several fleet sizes.
 
 use laurelstall_config::fleet::{Fleet, FleetTarget, Host, HostState, host_name};
-use laurelstall_peer::recent_fleet::RecentFleet;
+use laurelstall_peer::fleet_corrector::FleetCorrector;
 use std::{net::IpAddr, sync::Arc};
 use tokio::time::Instant;
 
@@ -34,19 +34,19 @@
 
 fn main() {
     for hosts in SIZES {
-        let mut recent = RecentFleet::default();
+        let mut recent = FleetCorrector::default();
         let lists = [list(hosts, 1), list(hosts, 2)];
         let now = Instant::now();
-        recent.take(lists[0].clone(), 0, &Fleet::default(), now);
+        recent.update(lists[0].clone(), 0, &Fleet::default(), now);
         let started = Instant::now();
         for round in 0..ROUNDS as usize {
-            recent.take(lists[(round + 1) % 2].clone(), 0, &lists[round % 2], now);
+            recent.update(lists[(round + 1) % 2].clone(), 0, &lists[round % 2], now);
             recent.fleet(now);
         }
         let compared = started.elapsed() / ROUNDS;
         let started = Instant::now();
         for round in 0..ROUNDS as usize {
-            recent.take(lists[(round + 1) % 2].clone(), 1 + round as u64, &lists[round % 2], now);
+            recent.update(lists[(round + 1) % 2].clone(), 1 + round as u64, &lists[round % 2], now);
             recent.fleet(now);
         }
         let corrected = started.elapsed() / ROUNDS;
--- a/crates/laurelstall_peer/src/attempt.rs
+++ b/crates/laurelstall_peer/src/attempt.rs
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownCause {
     /// The answer was lost; contains the text for the caller.
-    Lost(&'static str),
+    AnswerLost(&'static str),
     /// The target crashed while running the call.
     TargetEnded,
 }
@@ -60,15 +60,15 @@
     /// Returns the text for callers.
     pub fn text(self) -> &'static str {
         match self {
-            Self::Lost(text) => text,
+            Self::AnswerLost(text) => text,
             Self::TargetEnded => "the target ended",
         }
     }
 
     /// Returns the label for logs.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Self::Lost(_) => "unknown",
+            Self::AnswerLost(_) => "unknown",
             Self::TargetEnded => "target-ended",
         }
     }
--- a/crates/laurelstall_peer/src/client.rs
+++ b/crates/laurelstall_peer/src/client.rs
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// [`PeerError`] if there is no valid answer in time.
-    pub async fn ask(&self, address: SocketAddr, request: &PeerRequest) -> Result<PeerAnswer, PeerError> {
+    pub async fn request(&self, address: SocketAddr, request: &PeerRequest) -> Result<PeerAnswer, PeerError> {
         let answered = timeout(CONTROL_TIMEOUT, self.request_untimed(address, request)).await;
         answered.map_err(|_| PeerError::TimedOut)?
     }
@@ -110,7 +110,7 @@
             Ok(opened) => opened,
             Err(_) => return not_sent(body),
         };
-        if kind == BodyKind::OnGo {
+        if kind == BodyKind::BufferedAfterAdmission {
             let AttemptBody::Whole(bytes) = body else { return not_sent(body) };
             return attempt_buffered(head, bytes, response, stream, in_flight).await;
         }
@@ -232,7 +232,7 @@
         stream.send_data(Bytes::new(), true).map_err(BodyError::from)
     };
     if sent.await.is_err() {
-        return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("stream broke")));
+        return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost("stream broke")));
     }
     let answer = reader.read(HEAD_BYTES_MAX).await;
     read_answer(answer, reader, call_id, resources)
@@ -269,7 +269,8 @@
     kind: BodyKind,
     stream: &mut SendStream<Bytes>,
 ) -> Result<Option<AnswerBody>, AttemptAnswer> {
-    let lost = |_: BodyError| AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("stream broke")));
+    let lost =
+        |_: BodyError| AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost("stream broke")));
     match body {
         AttemptBody::Whole(bytes) => {
             if bytes.is_empty() {
@@ -293,7 +294,7 @@
 fn stream_failure(error: &h2::Error, unread: Option<AnswerBody>) -> AttemptAnswer {
     let is_refused = error.is_remote() && error.reason() == Some(Reason::REFUSED_STREAM);
     if !is_refused {
-        return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("stream broke")));
+        return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost("stream broke")));
     }
     let refusal = Refusal::new(RefusalReason::Draining);
     let mut answer = AttemptAnswer::new(AttemptOutcome::NotRun(refusal));
@@ -322,7 +323,9 @@
         Ok(answer) => answer,
         Err(FrameError::Stream(error)) => return stream_failure(&error, None),
         Err(_) => {
-            return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("unreadable answer")));
+            return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost(
+                "unreadable answer",
+            )));
         }
     };
     let (outcome, hint) = match answer {
@@ -341,9 +344,9 @@
             return AttemptAnswer { outcome, hint, ended: Some(report), unread: None };
         }
         PeerAnswer::Unknown { hint, .. } => {
-            (AttemptOutcome::Unknown(UnknownCause::Lost("lost at the target")), hint)
+            (AttemptOutcome::Unknown(UnknownCause::AnswerLost("lost at the target")), hint)
         }
-        _ => (AttemptOutcome::Unknown(UnknownCause::Lost("unexpected answer")), None),
+        _ => (AttemptOutcome::Unknown(UnknownCause::AnswerLost("unexpected answer")), None),
     };
     AttemptAnswer { outcome, hint: hint.map(Hint::from), ended: None, unread: None }
 }
@@ -355,7 +358,7 @@
     resources: AnswerResources,
 ) -> AttemptOutcome {
     let (Ok(status), Some(headers)) = (StatusCode::from_u16(status), headers_from_wire(&headers)) else {
-        return AttemptOutcome::Unknown(UnknownCause::Lost("unreadable answer"));
+        return AttemptOutcome::Unknown(UnknownCause::AnswerLost("unreadable answer"));
     };
     let (first, stream): (Bytes, RecvStream) = reader.into_rest();
     let body = GuardedBody { inner: StreamBody::new(first, stream), _resources: resources };
--- a/crates/laurelstall_peer/src/crash_registry.rs
+++ b/crates/laurelstall_peer/src/crash_registry.rs
@@ -52,7 +52,7 @@
     }
 
     /// Records that a target crashed while these requests were running.
-    pub fn note_end(&self, end: u64, service: &str, digests: &[RequestDigest]) {
+    pub fn note_crash(&self, end: u64, service: &str, digests: &[RequestDigest]) {
         let now_us = self.now_us();
         let before = self.verdicts(digests);
         let reports =
@@ -94,7 +94,7 @@
     }
 
     /// Merges crash reports of another node.
-    pub fn take_news(&self, reports: &[CrashReport]) {
+    pub fn merge_reports(&self, reports: &[CrashReport]) {
         let digests = reports.iter().map(|report| report.digest).collect::<Vec<_>>();
         let before = self.verdicts(&digests);
         let changed = self.table().merge_reports(reports, self.now_us());
@@ -118,7 +118,7 @@
     }
 
     /// Returns the state of all requests with crashes, for operators.
-    pub fn states(&self) -> Vec<SuspectState> {
+    pub fn suspects(&self) -> Vec<SuspectState> {
         self.table().suspects(self.now_us())
     }
 
--- a/crates/laurelstall_peer/src/carried_news.rs
+++ b/crates/laurelstall_peer/src/fleet_corrections.rs
@@ -7,7 +7,7 @@
 
 /// One start of a target on a host. Corrections for it do not apply to later starts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct HostStart {
+pub struct HostInstance {
     /// Name of the host.
     pub host: String,
     /// Name of the target that is registered there; empty if there is none.
@@ -18,7 +18,7 @@
 
 /// How a host went out of service. If two reports differ, the greater one wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Departed {
+pub enum Departure {
     /// The host announced that it leaves.
     Leaving,
     /// The host was removed from the list.
@@ -29,14 +29,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartedHost {
     /// The start of the host's target that went out of service.
-    pub start: HostStart,
+    #[serde(rename = "start")]
+    pub instance: HostInstance,
     /// How it went out of service.
-    pub departed: Departed,
+    #[serde(rename = "departed")]
+    pub departure: Departure,
 }
 
 /// Whether operators have evacuated a data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationWord {
+pub struct EvacuationState {
     /// Name of the data centre.
     pub data_centre: String,
     /// Whether it is evacuated.
@@ -45,7 +47,7 @@
 
 /// Corrections to the list of hosts since a restore of the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CarriedNews {
+pub struct FleetCorrections {
     /// The era that began with the restore.
     pub era: u64,
     /// Time since the first known read of that era, in ms.
@@ -55,13 +57,13 @@
     /// Live hosts that the copy lacks, as the text of a fleet document.
     pub unlisted: String,
     /// Data centres that were evacuated, or returned to service, before the restore.
-    pub evacuations: Vec<EvacuationWord>,
+    pub evacuations: Vec<EvacuationState>,
 }
 
-impl CarriedNews {
+impl FleetCorrections {
     /// Returns the corrections without the unlisted hosts, of which there may be more than a request may
     /// hold. A node that lacks them requests them itself.
-    pub fn in_question(self) -> Self {
+    pub fn without_unlisted(self) -> Self {
         Self { unlisted: NO_HOSTS.to_owned(), ..self }
     }
 }
--- a/crates/laurelstall_peer/src/recent_fleet.rs
+++ b/crates/laurelstall_peer/src/fleet_corrector.rs
@@ -5,7 +5,7 @@
 //! correct the list by the changes that they saw before the restore. They exchange these corrections, since
 //! a node that starts in this time knows only the copy.
 
-use crate::carried_news::{CarriedNews, Departed, DepartedHost, EvacuationWord, HostStart};
+use crate::fleet_corrections::{DepartedHost, Departure, EvacuationState, FleetCorrections, HostInstance};
 use laurelstall_config::fleet::{Fleet, FleetTarget, Host, HostState};
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -19,12 +19,12 @@
 const REMEMBERED_FOR: Duration = Duration::from_secs(60);
 /// Maximum number of changes of each kind that are remembered and sent to another node. With names of
 /// maximum length they fit into one request.
-pub const WORDS_MAX: usize = 1_500;
+pub const CHANGES_MAX: usize = 1_500;
 /// How long corrections apply after a restore. By then all changes are written again, or registrations that
 /// nobody renews have expired.
 const CORRECTED_FOR: Duration = Duration::from_secs(30);
 /// How long hosts that the copy lacks are kept after a restore. Running ones have registered again by then.
-pub const REGISTER_GRACE: Duration = Duration::from_millis(2_000);
+pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2_000);
 
 /// A change and when it was seen.
 #[derive(Debug, Clone, Copy)]
@@ -45,7 +45,7 @@
 struct Corrections {
     /// Time of the first known read of the current era.
     since: Instant,
-    departed: BTreeMap<HostStart, Departed>,
+    departed: BTreeMap<HostInstance, Departure>,
     /// By name of the host.
     unlisted: BTreeMap<String, UnlistedHost>,
     /// Whether each of these data centres is evacuated, overriding the list.
@@ -54,19 +54,19 @@
 
 /// The published list of hosts and its recent changes.
 #[derive(Debug, Default)]
-pub struct RecentFleet {
+pub struct FleetCorrector {
     /// Era of the list; `None` before the first list.
     era: Option<u64>,
     listed: Arc<Fleet>,
-    departed: HashMap<HostStart, Timed<Departed>>,
+    departed: HashMap<HostInstance, Timed<Departure>>,
     evacuations: HashMap<String, Timed<bool>>,
     corrections: Option<Corrections>,
 }
 
-impl RecentFleet {
+impl FleetCorrector {
     /// Applies the newest list, which is from the given era of the platform; `in_force` is the list that
     /// the node followed until now. Returns whether the platform was restored since the previous list.
-    pub fn take(&mut self, listed: Arc<Fleet>, era: u64, in_force: &Fleet, now: Instant) -> bool {
+    pub fn update(&mut self, listed: Arc<Fleet>, era: u64, in_force: &Fleet, now: Instant) -> bool {
         let has_returned = self.era.is_some_and(|before| before < era);
         if has_returned {
             self.start_corrections(in_force, now);
@@ -83,7 +83,7 @@
     pub fn fleet(&mut self, now: Instant) -> Arc<Fleet> {
         self.corrections.take_if(|corrections| now >= corrections.since + CORRECTED_FOR);
         let Some(corrections) = &mut self.corrections else { return self.listed.clone() };
-        if now >= corrections.since + REGISTER_GRACE {
+        if now >= corrections.since + REGISTRATION_GRACE {
             corrections.unlisted.clear();
         }
         let mut fleet = Fleet::clone(&self.listed);
@@ -93,15 +93,15 @@
         Arc::new(fleet)
     }
 
-    /// Time at which [`RecentFleet::fleet`] changes without a new list; `None` if it does not.
+    /// Time at which [`FleetCorrector::fleet`] changes without a new list; `None` if it does not.
     pub fn next_change(&self, now: Instant) -> Option<Instant> {
         let since = self.corrections.as_ref()?.since;
-        let ends = [since + REGISTER_GRACE, since + CORRECTED_FOR];
+        let ends = [since + REGISTRATION_GRACE, since + CORRECTED_FOR];
         ends.into_iter().find(|end| *end > now).or(Some(now))
     }
 
     /// Summary of the corrections for a log line.
-    pub fn carried_numbers(&self) -> String {
+    pub fn corrections_summary(&self) -> String {
         let Some(corrections) = &self.corrections else { return "no corrections apply".to_owned() };
         let (departed, unlisted) = (corrections.departed.len(), corrections.unlisted.len());
         let evacuations = corrections.evacuations.len();
@@ -111,17 +111,17 @@
     }
 
     /// Returns the corrections for other nodes; `None` if there are none.
-    pub fn news(&self, now: Instant) -> Option<CarriedNews> {
+    pub fn corrections(&self, now: Instant) -> Option<FleetCorrections> {
         let corrections = self.corrections.as_ref()?;
-        let departed = corrections.departed.iter().take(WORDS_MAX);
+        let departed = corrections.departed.iter().take(CHANGES_MAX);
         let departed = departed
-            .map(|(instance, departed)| DepartedHost { start: instance.clone(), departed: *departed });
+            .map(|(instance, departed)| DepartedHost { instance: instance.clone(), departure: *departed });
         let evacuations = corrections.evacuations.iter();
-        let evacuations = evacuations.map(|(data_centre, is_evacuated)| EvacuationWord {
+        let evacuations = evacuations.map(|(data_centre, is_evacuated)| EvacuationState {
             data_centre: data_centre.clone(),
             is_evacuated: *is_evacuated,
         });
-        Some(CarriedNews {
+        Some(FleetCorrections {
             era: self.era?,
             age_ms: now.saturating_duration_since(corrections.since).as_millis() as u64,
             departed: departed.collect(),
@@ -144,7 +144,7 @@
             hash.write(instance.host.as_bytes());
             hash.write(instance.target.as_bytes());
             hash.write_u64(instance.started_unix_ms);
-            hash.write_u8(u8::from(*departed == Departed::Gone));
+            hash.write_u8(u8::from(*departed == Departure::Gone));
         }
         for (data_centre, is_evacuated) in &corrections.evacuations {
             hash.write(data_centre.as_bytes());
@@ -156,7 +156,7 @@
     /// Merges the corrections of another node for the same restore; returns whether any was new.
     ///
     /// Of two contradicting corrections, the one that keeps calls away wins.
-    pub fn take_news(&mut self, received: &CarriedNews, now: Instant) -> bool {
+    pub fn merge(&mut self, received: &FleetCorrections, now: Instant) -> bool {
         let age = Duration::from_millis(received.age_ms);
         if self.era != Some(received.era) || age >= CORRECTED_FOR {
             return false;
@@ -165,11 +165,11 @@
         let hash_before = self.hash(now);
         let corrections = self.corrections.get_or_insert_with(|| Corrections::new(since));
         corrections.since = corrections.since.min(since);
-        for reported in received.departed.iter().take(WORDS_MAX) {
-            let known = corrections.departed.entry(reported.start.clone()).or_insert(reported.departed);
-            *known = (*known).max(reported.departed);
+        for reported in received.departed.iter().take(CHANGES_MAX) {
+            let known = corrections.departed.entry(reported.instance.clone()).or_insert(reported.departure);
+            *known = (*known).max(reported.departure);
         }
-        for state in received.evacuations.iter().take(WORDS_MAX) {
+        for state in received.evacuations.iter().take(CHANGES_MAX) {
             *corrections.evacuations.entry(state.data_centre.clone()).or_default() |= state.is_evacuated;
         }
         match Fleet::from_text("unlisted hosts", &received.unlisted) {
@@ -201,9 +201,9 @@
         let mut changes = Vec::new();
         for (instance, listed) in &before {
             match after.get(instance) {
-                None => changes.push((instance.owned(), Some(Departed::Gone))),
+                None => changes.push((instance.owned(), Some(Departure::Gone))),
                 Some(later) if !later.is_live() && listed.is_live() => {
-                    changes.push((instance.owned(), Some(Departed::Leaving)));
+                    changes.push((instance.owned(), Some(Departure::Leaving)));
                 }
                 Some(_) => {}
             }
@@ -227,7 +227,7 @@
     }
 
     /// Records that a host departed, or with `None` that it is in service.
-    fn record_departure(&mut self, instance: HostStart, departed: Option<Departed>, now: Instant) {
+    fn record_departure(&mut self, instance: HostInstance, departed: Option<Departure>, now: Instant) {
         match departed {
             Some(value) => {
                 self.departed.insert(instance, Timed { value, at: now });
@@ -257,7 +257,7 @@
             Some((listed.host.name.clone(), *departure))
         });
         let departures = departures.collect::<HashMap<_, _>>();
-        let is_gone = |host: &String| departures.get(host) == Some(&Departed::Gone);
+        let is_gone = |host: &String| departures.get(host) == Some(&Departure::Gone);
         fleet.hosts.retain(|host| !is_gone(&host.name));
         fleet.targets.retain(|target| !is_gone(&target.host));
         for host in &mut fleet.hosts {
@@ -301,7 +301,7 @@
 }
 
 impl UnlistedHost {
-    fn instance(&self) -> HostStart {
+    fn instance(&self) -> HostInstance {
         InstanceRef::new(&self.host, self.target.as_ref()).owned()
     }
 }
@@ -327,7 +327,7 @@
     }
 }
 
-/// A borrowed [`HostStart`]; avoids copies of a whole list for a few changes.
+/// A borrowed [`HostInstance`]; avoids copies of a whole list for a few changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct InstanceRef<'a> {
     host: &'a str,
@@ -344,8 +344,8 @@
         }
     }
 
-    fn owned(self) -> HostStart {
-        HostStart {
+    fn owned(self) -> HostInstance {
+        HostInstance {
             host: self.host.to_owned(),
             target: self.target.to_owned(),
             started_unix_ms: self.started_unix_ms,
@@ -384,7 +384,7 @@
 
 fn evict_old<K: Clone + Eq + Hash, T>(entries: &mut HashMap<K, Timed<T>>, now: Instant) {
     entries.retain(|_, timed| now < timed.at + REMEMBERED_FOR);
-    while entries.len() > WORDS_MAX {
+    while entries.len() > CHANGES_MAX {
         let oldest = entries.iter().min_by_key(|(_, timed)| timed.at).map(|(key, _)| key.clone());
         oldest.map(|key| entries.remove(&key));
     }
--- a/crates/laurelstall_peer/src/lib.rs
+++ b/crates/laurelstall_peer/src/lib.rs
@@ -3,23 +3,23 @@
 
 pub mod attempt;
 pub mod body;
-pub mod carried_news;
 pub mod client;
 pub mod crash_registry;
 pub mod delta;
+pub mod fleet_corrections;
+pub mod fleet_corrector;
 pub mod frame;
 pub mod link;
 pub mod message;
 pub mod meter;
-pub mod partner_pauses;
+pub mod partner_backoff;
 pub mod partners;
 pub mod platform;
 pub mod pool;
 pub mod read_span;
-pub mod recent_fleet;
+pub mod replication_state;
+pub mod replicator;
 pub mod server;
-pub mod spread;
-pub mod spread_state;
 pub mod store;
 
 /// The most commonly used types.
@@ -32,8 +32,8 @@
         message::{AttemptHead, PeerAnswer, PeerRequest, TicketsRequest, WireHint},
         meter::Meter,
         platform::{Listing, PlatformError, PlatformSource},
+        replicator::{Replicator, ReplicatorOptions},
         server::{PeerHandler, PeerServer},
-        spread::{Spread, SpreadOptions},
-        store::{Acceptor, Offer, Store},
+        store::{Acceptor, OfferOutcome, Store},
     };
 }
--- a/crates/laurelstall_peer/src/message.rs
+++ b/crates/laurelstall_peer/src/message.rs
@@ -1,6 +1,6 @@
 //! The messages between nodes.
 
-use crate::carried_news::CarriedNews;
+use crate::fleet_corrections::FleetCorrections;
 use laurelstall_balance::hint::{Hint, TargetState};
 use laurelstall_config::document::{DocumentName, Version};
 use laurelstall_crash::{crash_record::CrashReport, request_digest::RequestDigest};
@@ -21,7 +21,8 @@
     AfterAdmission,
     /// The body follows after [`PeerAnswer::Admitted`], and the guard buffers all of it before the target
     /// receives anything. A call that was queued when its node or connection failed has therefore not run.
-    OnGo,
+    #[serde(rename = "OnGo")]
+    BufferedAfterAdmission,
 }
 
 /// Head of one attempt at a call.
@@ -180,7 +181,8 @@
     /// Hash of all crash reports.
     pub crashes_hash: u64,
     /// Hash of the corrections since the last restore of the platform; 0 for none.
-    pub carried_hash: u64,
+    #[serde(rename = "carried_hash")]
+    pub corrections_hash: u64,
     /// Upper bound for the age of the held documents, in ms: at that time the platform held nothing newer.
     pub documents_age_ms: u64,
 }
@@ -203,11 +205,13 @@
     /// Return whether the node can read the platform.
     CanRead,
     /// New crash reports.
-    CrashNews(Vec<CrashReport>),
+    #[serde(rename = "CrashNews")]
+    CrashReports(Vec<CrashReport>),
     /// All crash reports of the sender; the answer contains those that it lacks.
     CompareCrashes(Vec<CrashReport>),
     /// The corrections of the sender; the answer contains those of the node.
-    CompareCarried(Option<CarriedNews>),
+    #[serde(rename = "CompareCarried")]
+    CompareCorrections(Option<FleetCorrections>),
     /// Take tokens from a share that the node owns.
     TakeTokens(ShareKey, u32),
     /// Return tokens of calls that did not run.
@@ -274,7 +278,8 @@
     /// The crash reports that the requesting node lacks.
     Crashes(Vec<CrashReport>),
     /// The corrections since the last restore of the platform.
-    Carried(Option<CarriedNews>),
+    #[serde(rename = "Carried")]
+    Corrections(Option<FleetCorrections>),
     /// Granted tokens; `None` if another node may own the share.
     Tokens(Option<Grant>),
     /// The request was rejected for this reason.
--- a/crates/laurelstall_peer/src/partners.rs
+++ b/crates/laurelstall_peer/src/partners.rs
@@ -13,7 +13,7 @@
 ///
 /// Uses rendezvous hashing: all nodes compute the same order from the same list, and a host that joins or
 /// leaves changes at most one reader.
-pub fn hosts_ahead<'a>(fleet: &'a Fleet, host: &str, data_centre: &str) -> Vec<&'a Host> {
+pub fn preceding_hosts<'a>(fleet: &'a Fleet, host: &str, data_centre: &str) -> Vec<&'a Host> {
     let own = weight(host);
     let is_ahead = |other: &&Host| {
         other.data_centre == data_centre && other.state == HostState::Live && weight(&other.name) > own
@@ -69,7 +69,7 @@
 /// Whether `host` is the one live host whose node tries a quarantined request again.
 ///
 /// Uses rendezvous hashing, so all nodes choose the same host from the same list.
-pub fn is_tried_by(fleet: &Fleet, host: &str, digest: u64) -> bool {
+pub fn is_trial_host(fleet: &Fleet, host: &str, digest: u64) -> bool {
     let weight = |name: &str| (xxh3_64_with_seed(name.as_bytes(), digest), name.to_owned());
     let live = fleet.hosts.iter().filter(|other| other.state == HostState::Live);
     let first = live.max_by_key(|other| weight(&other.name));
--- a/crates/laurelstall_peer/src/platform.rs
+++ b/crates/laurelstall_peer/src/platform.rs
@@ -29,7 +29,7 @@
     pub versions: Vec<(DocumentName, Version)>,
     /// Those documents whose parts may be from different moments. The text of other nodes for the same
     /// version may differ.
-    pub mixed: Vec<DocumentName>,
+    pub inconsistent: Vec<DocumentName>,
 }
 
 quick_error! {
--- a/crates/laurelstall_peer/src/read_span.rs
+++ b/crates/laurelstall_peer/src/read_span.rs
@@ -32,7 +32,7 @@
 
     /// Whether these reads rule out an outage of the platform that ended at `ended_us`: they cover the
     /// time at which its minimum length would have begun.
-    pub fn denies_outage_before(self, ended_us: i64) -> bool {
+    pub fn rules_out_outage_before(self, ended_us: i64) -> bool {
         let outage_us = ended_us - OUTAGE_MIN_US;
         self.first_us < outage_us && self.last_us > outage_us
     }
--- a/crates/laurelstall_peer/src/spread_state.rs
+++ b/crates/laurelstall_peer/src/replication_state.rs
@@ -4,7 +4,7 @@
 
 /// Counters since the start of the node.
 #[derive(Debug, Default)]
-pub struct SpreadCounts {
+pub struct ReplicationCounts {
     /// Documents that were activated.
     pub taken: AtomicU64,
     /// Documents that were rejected for faults.
--- a/crates/laurelstall_peer/src/spread.rs
+++ b/crates/laurelstall_peer/src/replicator.rs
@@ -12,8 +12,8 @@
     partners::{pick_others, pick_partners, pick_remote},
     platform::PlatformSource,
     read_span::ReadSpan,
-    spread_state::{PartnerState, SpreadCounts},
-    store::{Acceptor, Offer, Store},
+    replication_state::{PartnerState, ReplicationCounts},
+    store::{Acceptor, OfferOutcome, Store},
 };
 use futures_util::stream::FuturesUnordered;
 use laurelstall_config::{
@@ -36,21 +36,21 @@
     time::Duration,
 };
 
-mod carrying;
-mod crash_news;
-mod exchanging;
-mod joining;
-mod offering;
-mod platform_news;
-mod pulling;
-mod reading;
-mod standby;
+mod anti_entropy;
+mod corrections;
+mod crash_reports;
+mod join;
+mod offers;
+mod platform_reads;
+mod platform_status;
+mod pulls;
+mod standby_readers;
 
-use standby::ReaderRole;
+use standby_readers::ReaderRole;
 
 /// Identity and startup options of a node.
 #[derive(Debug, Clone)]
-pub struct SpreadOptions {
+pub struct ReplicatorOptions {
     /// Name of the node's host.
     pub host: String,
     /// Data centre of the host.
@@ -83,22 +83,22 @@
 }
 
 /// Gives access to the parts of the active configuration that replication depends on.
-pub trait SpreadView: Send + Sync + std::fmt::Debug {
+pub trait ReplicationView: Send + Sync + std::fmt::Debug {
     /// Returns the list of hosts.
     fn fleet(&self) -> Arc<Fleet>;
     /// Returns the replication limits.
-    fn spread(&self) -> SpreadLimits;
+    fn spread_limits(&self) -> SpreadLimits;
 }
 
 /// Replicates configuration between this node, the platform and other nodes.
 #[derive(Debug)]
-pub struct Spread {
-    options: SpreadOptions,
+pub struct Replicator {
+    options: ReplicatorOptions,
     clock: Clock,
     client: PeerClient,
     platform: Arc<dyn PlatformSource>,
     acceptor: Arc<dyn Acceptor>,
-    view: Arc<dyn SpreadView>,
+    view: Arc<dyn ReplicationView>,
     store: Mutex<Store>,
     /// Platform reads known to this node, its own and those of others; `None` before the first.
     known_reads: Mutex<Option<ReadSpan>>,
@@ -132,18 +132,18 @@
     crashes: Arc<CrashRegistry>,
     seeds: Mutex<Vec<SocketAddr>>,
     /// Counters of this node's replication.
-    pub counts: SpreadCounts,
+    pub counts: ReplicationCounts,
 }
 
-impl Spread {
+impl Replicator {
     /// Creates a node that holds no documents.
     pub fn new(
-        options: SpreadOptions,
+        options: ReplicatorOptions,
         clock: Clock,
         client: PeerClient,
         platform: Arc<dyn PlatformSource>,
         acceptor: Arc<dyn Acceptor>,
-        view: Arc<dyn SpreadView>,
+        view: Arc<dyn ReplicationView>,
     ) -> Arc<Self> {
         let partner_seed = AtomicU64::new(options.seed);
         let rng = Mutex::new(SmallRng::seed_from_u64(options.seed));
@@ -175,7 +175,7 @@
             partner_states: Mutex::default(),
             crashes: Arc::new(CrashRegistry::new(clock)),
             seeds,
-            counts: SpreadCounts::default(),
+            counts: ReplicationCounts::default(),
         })
     }
 
@@ -250,7 +250,7 @@
     /// An offer is ignored unless its address has the IP of the connection or belongs to a listed node, so
     /// that a stranger cannot direct nodes to arbitrary addresses. A host with several addresses may
     /// connect from any of them.
-    pub fn note_offer(
+    pub fn handle_offer(
         self: &Arc<Self>,
         from: IpAddr,
         address: SocketAddr,
@@ -260,7 +260,7 @@
         // Must precede the documents, since accepting them depends on it.
         self.merge_status(status);
         let is_known = address.ip() == from || self.view.fleet().has_node(address);
-        if !is_known || self.store().behind(&theirs).is_empty() {
+        if !is_known || self.store().pull_items_for(&theirs).is_empty() {
             return;
         }
         let this = self.clone();
@@ -273,7 +273,7 @@
 
     /// Applies a document that was read from the platform and, if it is accepted, offers it to the
     /// partners.
-    pub fn take(&self, document: Document) -> bool {
+    pub fn apply(&self, document: Document) -> bool {
         self.apply_from(document, Origin { peer: None, is_stale: false, read_us: self.clock.now_us() })
     }
 
@@ -284,7 +284,7 @@
         let fleet_before = self.view.fleet();
         let offer = self.store().offer(document, &*self.acceptor);
         match offer {
-            Offer::Taken => {
+            OfferOutcome::Accepted => {
                 self.counts.taken.fetch_add(1, Ordering::Relaxed);
                 self.note_origin(&name, version, held, origin);
                 if !origin.is_stale {
@@ -297,17 +297,17 @@
                 }
                 return true;
             }
-            Offer::Refused(error) => {
+            OfferOutcome::Rejected(error) => {
                 self.counts.refused.fetch_add(1, Ordering::Relaxed);
                 log::error!("{name} version {version} is rejected, the active version stays: {error}");
             }
-            Offer::Conflict => log::error!(
+            OfferOutcome::Conflict => log::error!(
                 "{name} version {version} differs from the held text of this version; it is ignored"
             ),
-            Offer::TooLarge => log::error!(
+            OfferOutcome::TooLarge => log::error!(
                 "{name} version {version} is rejected: the document is too large, or there are too many documents"
             ),
-            Offer::NotNewer => {}
+            OfferOutcome::NotNewer => {}
         }
         false
     }
@@ -316,7 +316,7 @@
     /// from here.
     fn note_origin(&self, name: &DocumentName, version: Version, held: Version, origin: Origin) {
         let delay_us = self.clock.now_us().saturating_sub(origin.read_us);
-        self.acceptor.note_delay(delay_us);
+        self.acceptor.record_delay(delay_us);
         self.read_us.lock().unwrap_or_else(PoisonError::into_inner).insert(name.clone(), origin.read_us);
         let from = origin.peer.map_or("the platform".to_owned(), |peer| peer.to_string());
         let delay_ms = delay_us / 1_000;
@@ -348,7 +348,7 @@
             platform_reads_from_age_ms: self.platform_reads_from_age_ms(),
             platform_return_age_ms: self.platform_return_age_ms(),
             crashes_hash: self.crashes.hash(),
-            carried_hash: self.acceptor.carried_hash(),
+            corrections_hash: self.acceptor.corrections_hash(),
             documents_age_ms: self.documents_age_ms(),
         }
     }
@@ -390,7 +390,7 @@
     }
 
     fn partners_where(&self, fleet: &Fleet, is_wanted: impl Fn(&Host) -> bool) -> Vec<SocketAddr> {
-        let count = self.view.spread().partners;
+        let count = self.view.spread_limits().partners;
         let seed = self.partner_seed.load(Ordering::Relaxed);
         let partners = pick_partners(fleet, &self.options.host, &self.options.data_centre, count, seed);
         partners.into_iter().filter(|host| is_wanted(host)).map(|host| host.node_address).collect()
--- a/crates/laurelstall_peer/src/spread/exchanging.rs
+++ b/crates/laurelstall_peer/src/replicator/anti_entropy.rs
@@ -1,11 +1,11 @@
 //! Anti-entropy: compares versions with one node after the other to repair missed offers.
 
-use super::Spread;
+use super::Replicator;
 use crate::{
     client::{CONTROL_TIMEOUT, PeerError},
     message::{PeerAnswer, PeerRequest},
-    partner_pauses::PartnerBackoff,
-    spread_state::PartnerState,
+    partner_backoff::PartnerBackoff,
+    replication_state::PartnerState,
 };
 use futures_util::stream::StreamExt;
 use std::{
@@ -23,7 +23,7 @@
 /// Maximum number of nodes that are contacted in a round in which no partner answers.
 const SUBSTITUTES_MAX: usize = 3;
 
-impl Spread {
+impl Replicator {
     /// Exchanges versions with one node per round: the next partner, or the first after it that answers.
     /// Lost partners do not use up a round, so that an update reaches all nodes after a few rounds.
     pub(super) async fn exchange_loop(&self) {
@@ -49,7 +49,7 @@
     /// A node whose host is not listed takes calls but is nobody's partner, so it receives only what it
     /// requests.
     fn exchange_interval_ms(&self) -> u64 {
-        let interval_ms = self.view.spread().exchange_interval_ms;
+        let interval_ms = self.view.spread_limits().exchange_interval_ms;
         let fleet = self.view.fleet();
         let is_unlisted = !fleet.hosts.is_empty() && fleet.host(&self.options.host).is_none();
         if is_unlisted { interval_ms / UNLISTED_EXCHANGES } else { interval_ms }
@@ -107,26 +107,26 @@
     async fn exchange_within(&self, address: SocketAddr, time_limit: Duration) -> Result<(), PeerError> {
         let request = PeerRequest::Exchange(self.exchange());
         let requested_us = self.clock.now_us();
-        let answered = timeout(time_limit, self.client.ask(address, &request)).await;
+        let answered = timeout(time_limit, self.client.request(address, &request)).await;
         let answer = answered.unwrap_or(Err(PeerError::TimedOut));
         self.record_partner_state(address, answer.as_ref().ok());
         match answer? {
             PeerAnswer::Same(theirs) => {
                 self.merge_status(&theirs);
                 self.note_up_to_date_with(&theirs, requested_us);
-                self.exchange_corrections(address, theirs.carried_hash).await?;
+                self.exchange_corrections(address, theirs.corrections_hash).await?;
                 self.exchange_crashes(address, theirs.crashes_hash).await
             }
             PeerAnswer::Versions(theirs, versions) => {
                 self.merge_status(&theirs);
-                let ahead = self.store().ahead(&versions);
+                let ahead = self.store().newer_than(&versions);
                 if !ahead.is_empty() {
                     self.send_offer(address, ahead).await;
                 }
                 self.exchange_crashes(address, theirs.crashes_hash).await?;
                 self.pull(address, &versions).await?;
-                self.exchange_corrections(address, theirs.carried_hash).await?;
-                if self.store().behind(&versions).is_empty() {
+                self.exchange_corrections(address, theirs.corrections_hash).await?;
+                if self.store().pull_items_for(&versions).is_empty() {
                     self.note_up_to_date_with(&theirs, requested_us);
                 }
                 Ok(())
--- a/crates/laurelstall_peer/src/spread/carrying.rs
+++ b/crates/laurelstall_peer/src/replicator/corrections.rs
@@ -4,21 +4,21 @@
 //! received. Exchanges compare a hash of them, so that a node that starts later, or was partitioned,
 //! receives what it lacks.
 
-use super::Spread;
+use super::Replicator;
 use crate::{
-    carried_news::CarriedNews,
     client::PeerError,
+    fleet_corrections::FleetCorrections,
     message::{PeerAnswer, PeerRequest},
 };
 use std::net::SocketAddr;
 
-impl Spread {
+impl Replicator {
     /// Merges another node's corrections and answers with this node's.
-    pub fn answer_carried(&self, theirs: Option<&CarriedNews>) -> PeerAnswer {
+    pub fn answer_corrections(&self, theirs: Option<&FleetCorrections>) -> PeerAnswer {
         if let Some(theirs) = theirs {
-            self.acceptor.take_carried(theirs);
+            self.acceptor.merge_corrections(theirs);
         }
-        PeerAnswer::Carried(self.acceptor.carried())
+        PeerAnswer::Corrections(self.acceptor.corrections())
     }
 
     /// Exchanges corrections with a node unless `their_hash` shows that both have the same.
@@ -27,15 +27,15 @@
         address: SocketAddr,
         their_hash: u64,
     ) -> Result<(), PeerError> {
-        if their_hash == self.acceptor.carried_hash() {
+        if their_hash == self.acceptor.corrections_hash() {
             return Ok(());
         }
-        let ours = self.acceptor.carried().map(CarriedNews::in_question);
-        let request = PeerRequest::CompareCarried(ours);
-        match self.client.ask(address, &request).await? {
-            PeerAnswer::Carried(theirs) => {
+        let ours = self.acceptor.corrections().map(FleetCorrections::without_unlisted);
+        let request = PeerRequest::CompareCorrections(ours);
+        match self.client.request(address, &request).await? {
+            PeerAnswer::Corrections(theirs) => {
                 if let Some(theirs) = theirs {
-                    self.acceptor.take_carried(&theirs);
+                    self.acceptor.merge_corrections(&theirs);
                 }
                 Ok(())
             }
--- a/crates/laurelstall_peer/src/spread/crash_news.rs
+++ b/crates/laurelstall_peer/src/replicator/crash_reports.rs
@@ -3,7 +3,7 @@
 //! Each node forwards what is new to it to its partners, so that a crash is known everywhere after a few
 //! hops. The exchanges compare a hash of the known reports and repair what was missed.
 
-use super::Spread;
+use super::Replicator;
 use crate::{
     client::PeerError,
     message::{PeerAnswer, PeerRequest},
@@ -22,7 +22,7 @@
 /// lost all of its remote partners.
 const REMOTE_RECIPIENTS: usize = 2;
 
-impl Spread {
+impl Replicator {
     /// Sends each crash report to the partners as soon as this node has it. Rounds run concurrently.
     pub(super) async fn crash_news_loop(self: &Arc<Self>) {
         let mut rounds = JoinSet::new();
@@ -36,7 +36,7 @@
 
     /// Merges another node's crash reports and answers with those that it lacks.
     pub fn answer_crashes(&self, theirs: &[CrashReport]) -> PeerAnswer {
-        self.crashes.take_news(theirs);
+        self.crashes.merge_reports(theirs);
         let is_known = |report: &CrashReport| {
             theirs.iter().any(|known| known.digest == report.digest && known.ends.len() >= report.ends.len())
         };
@@ -57,8 +57,8 @@
             return Ok(());
         }
         let request = PeerRequest::CompareCrashes(self.crashes.all_reports());
-        match self.client.ask(address, &request).await? {
-            PeerAnswer::Crashes(theirs) => self.crashes.take_news(&theirs),
+        match self.client.request(address, &request).await? {
+            PeerAnswer::Crashes(theirs) => self.crashes.merge_reports(&theirs),
             _ => return Err(PeerError::Unexpected),
         }
         Ok(())
@@ -68,7 +68,7 @@
         let mut partners = self.partners();
         partners.extend(self.remote_nodes(REMOTE_RECIPIENTS));
         let mut substitutes = self.substitutes(&partners, partners.len()).into_iter();
-        let request = PeerRequest::CrashNews(reports);
+        let request = PeerRequest::CrashReports(reports);
         let send = |address| self.try_send_crash_reports(address, &request);
         let mut sending = partners.into_iter().map(send).collect::<FuturesUnordered<_>>();
         while let Some(is_sent) = sending.next().await {
@@ -80,7 +80,7 @@
 
     /// Sends the request to one node and returns whether it answered in time.
     async fn try_send_crash_reports(&self, address: SocketAddr, request: &PeerRequest) -> bool {
-        let answered = timeout(SEND_TIMEOUT, self.client.ask(address, request)).await;
+        let answered = timeout(SEND_TIMEOUT, self.client.request(address, request)).await;
         matches!(answered, Ok(Ok(PeerAnswer::Noted)))
     }
 }
--- a/crates/laurelstall_peer/src/spread/joining.rs
+++ b/crates/laurelstall_peer/src/replicator/join.rs
@@ -1,6 +1,6 @@
 //! Fetches the newest configuration from the platform and peers before a node serves calls.
 
-use super::Spread;
+use super::Replicator;
 use futures_util::{
     future::{Either, FutureExt, select},
     stream::StreamExt,
@@ -31,7 +31,7 @@
 /// Number of peers that a joining node contacts.
 const JOIN_PEERS: usize = 5;
 
-impl Spread {
+impl Replicator {
     /// Whether this node reads the platform while the list of hosts is unknown: it is a seed, or it has no
     /// seeds.
     pub(super) fn is_bootstrap_reader(&self) -> bool {
--- a/crates/laurelstall_peer/src/spread/offering.rs
+++ b/crates/laurelstall_peer/src/replicator/offers.rs
@@ -1,6 +1,6 @@
 //! Offers newly accepted versions to other nodes.
 
-use super::Spread;
+use super::Replicator;
 use crate::message::PeerRequest;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use laurelstall_config::{
@@ -27,7 +27,7 @@
 /// Maximum number of substitutes per partner that does not answer.
 const SUBSTITUTES_PER_PARTNER: usize = 2;
 
-impl Spread {
+impl Replicator {
     /// Offers each change to the partners. Rounds run concurrently, so that a partner that does not answer
     /// does not delay later versions.
     pub(super) async fn offer_loop(self: &Arc<Self>) {
@@ -112,7 +112,7 @@
         versions: Vec<(DocumentName, Version)>,
     ) -> bool {
         let request = PeerRequest::Offer(self.options.peer_address, self.exchange(), versions);
-        let answered = self.client.ask(address, &request).await;
+        let answered = self.client.request(address, &request).await;
         answered.inspect_err(|error| log::debug!("offer to {address} failed: {error}")).is_ok()
     }
 }
--- a/crates/laurelstall_peer/src/spread/reading.rs
+++ b/crates/laurelstall_peer/src/replicator/platform_reads.rs
@@ -1,9 +1,9 @@
 //! Reads the platform: continuously as a reader, rarely as a fallback when no reader seems to work.
 
-use super::{Origin, Spread, standby::ReaderRole};
+use super::{Origin, Replicator, standby_readers::ReaderRole};
 use crate::{
     platform::{Listing, PlatformError},
-    store::Offer,
+    store::OfferOutcome,
 };
 use laurelstall_config::document::{Document, DocumentName, Version};
 use rand::RngExt;
@@ -28,7 +28,7 @@
 /// Mean number of fallback reads of the whole fleet per `fallback_read_after_ms`.
 const FALLBACK_READS: f64 = 16.0;
 
-impl Spread {
+impl Replicator {
     /// Watches the platform while this node is a reader; otherwise makes fallback reads.
     pub(super) async fn read_loop(&self) {
         let mut after = None;
@@ -66,7 +66,7 @@
                     after = None;
                     let is_substitute = self.reader_role() == ReaderRole::Substitute;
                     let factor = if is_substitute { SUBSTITUTE_PAUSE_FACTOR } else { 1 };
-                    let longest_ms = self.view.spread().read_pause_max_ms * factor;
+                    let longest_ms = self.view.spread_limits().read_pause_max_ms * factor;
                     sleep(self.jittered(read_pause_ms(failures, longest_ms))).await;
                 }
             }
@@ -81,7 +81,7 @@
             () = is_due => {}
             () = self.role_changed.notified() => return,
         }
-        let after_ms = self.view.spread().fallback_read_after_ms;
+        let after_ms = self.view.spread_limits().fallback_read_after_ms;
         if self.platform_read_age_ms() < after_ms {
             return;
         }
@@ -103,7 +103,7 @@
         self.note_platform_era(listing.era);
         for (name, _) in listing.versions {
             let document = self.platform.read(name.clone()).await?;
-            if listing.mixed.contains(&name) {
+            if listing.inconsistent.contains(&name) {
                 self.apply_inconsistent(&document);
             } else {
                 let read_us = self.clock.now_us();
@@ -115,12 +115,14 @@
 
     fn apply_inconsistent(&self, document: &Document) {
         let (name, version) = (&document.name, document.version);
-        let offer = self.store().offer_mixed(document, &*self.acceptor);
+        let offer = self.store().offer_inconsistent(document, &*self.acceptor);
         match offer {
-            Offer::Taken => {
+            OfferOutcome::Accepted => {
                 log::info!("{name}: active from a stale read, with parts up to version {version}")
             }
-            Offer::Refused(error) => log::error!("{name}: document of a stale read is rejected: {error}"),
+            OfferOutcome::Rejected(error) => {
+                log::error!("{name}: document of a stale read is rejected: {error}")
+            }
             _ => {}
         }
     }
@@ -140,7 +142,7 @@
         for name in wanted {
             self.counts.platform_calls.fetch_add(1, Ordering::Relaxed);
             let document = self.platform.read(name).await?;
-            self.take(document);
+            self.apply(document);
         }
         self.note_up_to_date(requested_us);
         Ok(listing.sequence)
--- a/crates/laurelstall_peer/src/spread/platform_news.rs
+++ b/crates/laurelstall_peer/src/replicator/platform_status.rs
@@ -1,6 +1,6 @@
 //! Tracks when the platform was last read and when its last outage ended.
 
-use super::Spread;
+use super::Replicator;
 use crate::{
     message::Exchange,
     read_span::{OUTAGE_MIN_US, ReadSpan},
@@ -14,7 +14,7 @@
 /// Age that stands for "never", in ms.
 const NEVER_MS: u64 = u32::MAX as u64;
 
-impl Spread {
+impl Replicator {
     /// Time since the last platform read known to this node, in ms.
     ///
     /// Reads before the node's start do not count, since it holds no documents from them.
@@ -110,25 +110,25 @@
         if before_us.is_some_and(|before_us| ended_us < before_us + SAME_OUTAGE_END_US) {
             return;
         }
-        if self.denies_outage_before(ended_us) {
+        if self.rules_out_outage_before(ended_us) {
             log::debug!("platform: a reported outage is ignored, since there were reads in that time");
             return;
         }
         *self.outage_end_us() = Some(ended_us);
         let age_ms = self.age_ms(ended_us);
         log::info!("platform: an outage ended {age_ms} ms ago");
-        self.acceptor.expect_lapsed(age_ms);
+        self.acceptor.on_platform_outage_end(age_ms);
     }
 
     /// Time since the last platform outage ended, in ms; `None` if there was none, or if known reads
     /// contradict it.
     pub(super) fn platform_return_age_ms(&self) -> Option<u64> {
         let ended_us = *self.outage_end_us();
-        ended_us.filter(|us| !self.denies_outage_before(*us)).map(|us| self.age_ms(us))
+        ended_us.filter(|us| !self.rules_out_outage_before(*us)).map(|us| self.age_ms(us))
     }
 
-    fn denies_outage_before(&self, ended_us: i64) -> bool {
-        self.known_reads().is_some_and(|reads| reads.denies_outage_before(ended_us))
+    fn rules_out_outage_before(&self, ended_us: i64) -> bool {
+        self.known_reads().is_some_and(|reads| reads.rules_out_outage_before(ended_us))
     }
 
     fn note_reads(&self, new: ReadSpan) {
--- a/crates/laurelstall_peer/src/spread/pulling.rs
+++ b/crates/laurelstall_peer/src/replicator/pulls.rs
@@ -1,6 +1,6 @@
 //! Pulls newer documents from other nodes, and answers their pulls.
 
-use super::{Origin, Spread};
+use super::{Origin, Replicator};
 use crate::{
     client::PeerError,
     message::{PeerAnswer, PeerRequest, PullItem, Transfer},
@@ -15,7 +15,7 @@
 /// short enough that a lost node does not delay a pull from another one.
 const PULL_LOCK_MAX: Duration = Duration::from_millis(300);
 
-impl Spread {
+impl Replicator {
     /// Answers a pull with the requested documents that are newer here.
     pub fn answer_pull(&self, items: &[PullItem]) -> PeerAnswer {
         let mut store = self.store();
@@ -36,7 +36,7 @@
         theirs: &[(DocumentName, Version)],
     ) -> Result<(), PeerError> {
         let lock = self.pull_lock.lock().await;
-        let items = self.store().behind(theirs);
+        let items = self.store().pull_items_for(theirs);
         let mut pulled = pin!(self.pull_all(address, items));
         if let Ok(pulled) = timeout(PULL_LOCK_MAX, pulled.as_mut()).await {
             return pulled;
@@ -63,7 +63,7 @@
         address: SocketAddr,
         items: Vec<PullItem>,
     ) -> Result<Vec<PullItem>, PeerError> {
-        let answer = self.client.ask(address, &PeerRequest::Pull(items)).await?;
+        let answer = self.client.request(address, &PeerRequest::Pull(items)).await?;
         let PeerAnswer::Documents(transfers) = answer else { return Err(PeerError::Unexpected) };
         let mut failed = Vec::new();
         for transfer in transfers {
--- a/crates/laurelstall_peer/src/spread/standby.rs
+++ b/crates/laurelstall_peer/src/replicator/standby_readers.rs
@@ -4,11 +4,11 @@
 //! power or is refused by the platform. The next few hosts in the reader order are standbys: each checks
 //! whether the hosts before it can read, and reads the platform while too few can.
 
-use super::Spread;
+use super::Replicator;
 use crate::{
     client::PeerError,
     message::{PeerAnswer, PeerRequest},
-    partners::hosts_ahead,
+    partners::preceding_hosts,
 };
 use futures_util::future::join_all;
 use std::{
@@ -38,14 +38,14 @@
     None,
 }
 
-impl Spread {
+impl Replicator {
     /// Returns this node's role.
     pub(super) fn reader_role(&self) -> ReaderRole {
         let fleet = self.view.fleet();
         if fleet.hosts.is_empty() {
             return if self.is_bootstrap_reader() { ReaderRole::Reader } else { ReaderRole::None };
         }
-        let count = self.view.spread().readers_per_data_centre;
+        let count = self.view.spread_limits().readers_per_data_centre;
         let Some(ahead) = self.addresses_ahead() else { return ReaderRole::None };
         if ahead.len() < count {
             return ReaderRole::Reader;
@@ -71,7 +71,7 @@
     pub(super) async fn standby_loop(&self) {
         loop {
             sleep(self.jittered(CHECK_INTERVAL_MS)).await;
-            let count = self.view.spread().readers_per_data_centre;
+            let count = self.view.spread_limits().readers_per_data_centre;
             let ahead = self.addresses_ahead().unwrap_or_default();
             let is_standby = (count..count + STANDBYS).contains(&ahead.len());
             let checked = if is_standby { ahead } else { Vec::new() };
@@ -108,7 +108,7 @@
     }
 
     async fn request_can_read(&self, address: SocketAddr) -> Result<bool, PeerError> {
-        let answered = timeout(ANSWER_TIMEOUT, self.client.ask(address, &PeerRequest::CanRead)).await;
+        let answered = timeout(ANSWER_TIMEOUT, self.client.request(address, &PeerRequest::CanRead)).await;
         match answered.unwrap_or(Err(PeerError::TimedOut))? {
             PeerAnswer::CanRead(can_read) => Ok(can_read),
             _ => Err(PeerError::Unexpected),
@@ -120,7 +120,7 @@
     fn addresses_ahead(&self) -> Option<Vec<SocketAddr>> {
         let fleet = self.view.fleet();
         fleet.host(&self.options.host)?;
-        let ahead = hosts_ahead(&fleet, &self.options.host, &self.options.data_centre);
+        let ahead = preceding_hosts(&fleet, &self.options.host, &self.options.data_centre);
         Some(ahead.into_iter().map(|host| host.node_address).collect())
     }
 }
--- a/crates/laurelstall_peer/src/server.rs
+++ b/crates/laurelstall_peer/src/server.rs
@@ -177,7 +177,7 @@
         mut respond: SendResponse<Bytes>,
     ) -> Result<(), BodyError> {
         let call_id = head.call_id;
-        let is_streamed = matches!(head.body, BodyKind::AfterAdmission | BodyKind::OnGo);
+        let is_streamed = matches!(head.body, BodyKind::AfterAdmission | BodyKind::BufferedAfterAdmission);
         let body = match read_body(head.body, reader).await {
             Ok(body) => body,
             // The body ended early, so the target has received nothing.
@@ -234,7 +234,7 @@
             let body = timeout(HEAD_TIMEOUT, StreamBody::new(first, stream).collect()).await;
             Ok(AttemptBody::Whole(body??.to_bytes()))
         }
-        BodyKind::AfterAdmission | BodyKind::OnGo => {
+        BodyKind::AfterAdmission | BodyKind::BufferedAfterAdmission => {
             Ok(AttemptBody::Stream(StreamBody::new(first, stream).boxed_unsync()))
         }
     }
--- a/crates/laurelstall_peer/src/store.rs
+++ b/crates/laurelstall_peer/src/store.rs
@@ -1,8 +1,8 @@
 //! Holds the newest accepted version of each document.
 
 use crate::{
-    carried_news::CarriedNews,
     delta::{DeltaError, pack_delta, pack_whole, unpack_delta, unpack_whole},
+    fleet_corrections::FleetCorrections,
     message::{PullItem, Transfer, TransferText},
 };
 use laurelstall_config::{
@@ -30,37 +30,37 @@
 
     /// Called when a platform outage ended `returned_age_ms` ago that was long enough for registrations to
     /// expire: targets missing from the next lists may still be running.
-    fn expect_lapsed(&self, _returned_age_ms: u64) {}
+    fn on_platform_outage_end(&self, _returned_age_ms: u64) {}
 
     /// A hash of the corrections since the platform was last restored from an older copy; 0 for none.
-    fn carried_hash(&self) -> u64 {
+    fn corrections_hash(&self) -> u64 {
         0
     }
 
     /// The corrections since the platform was last restored, to be sent to other nodes.
-    fn carried(&self) -> Option<CarriedNews> {
+    fn corrections(&self) -> Option<FleetCorrections> {
         None
     }
 
     /// Merges the corrections of another node.
-    fn take_carried(&self, _corrections: &CarriedNews) {}
+    fn merge_corrections(&self, _corrections: &FleetCorrections) {}
 
     /// Records the time in µs between the first read of a document from the platform and its activation
     /// here.
-    fn note_delay(&self, _delay_us: u64) {}
+    fn record_delay(&self, _delay_us: u64) {}
 }
 
 /// Result of offering a document to the store.
 #[derive(Debug, Clone)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// The document is active now.
-    Taken,
+    Accepted,
     /// The held version is at least as new.
     NotNewer,
     /// The held document has the same version but another text; it stays.
     Conflict,
     /// The document has faults; the held one stays.
-    Refused(ConfigError),
+    Rejected(ConfigError),
     /// The document is too large, or there are too many documents.
     TooLarge,
 }
@@ -80,51 +80,51 @@
 pub struct Store {
     entries: BTreeMap<DocumentName, Entry>,
     refused: BTreeMap<DocumentName, Version>,
-    /// Versions of documents that are active but not held; see [`Store::offer_mixed`].
+    /// Versions of documents that are active but not held; see [`Store::offer_inconsistent`].
     inconsistent: BTreeMap<DocumentName, Version>,
     conflicts: u64,
 }
 
 impl Store {
     /// Offers a document from any source.
-    pub fn offer(&mut self, document: Document, acceptor: &dyn Acceptor) -> Offer {
+    pub fn offer(&mut self, document: Document, acceptor: &dyn Acceptor) -> OfferOutcome {
         let held = self.version(&document.name);
         if document.version < held.max(self.inconsistent_version(&document.name))
             || document.version == Version::NONE
         {
-            return Offer::NotNewer;
+            return OfferOutcome::NotNewer;
         }
         if document.version == held {
             return self.check_conflict(&document);
         }
         let is_new_name = !self.entries.contains_key(&document.name);
         if document.text.len() > DOCUMENT_BYTES_MAX || (is_new_name && self.entries.len() >= DOCUMENTS_MAX) {
-            return Offer::TooLarge;
+            return OfferOutcome::TooLarge;
         }
         if let Err(error) = acceptor.accept(&document) {
             let refused = self.refused.entry(document.name).or_default();
             *refused = document.version.max(*refused);
-            return Offer::Refused(error);
+            return OfferOutcome::Rejected(error);
         }
         self.insert(document);
-        Offer::Taken
+        OfferOutcome::Accepted
     }
 
     /// Activates a document whose parts may be from different moments, until a consistent one arrives.
     ///
     /// It is not held, compared or sent to other nodes, since their text of this version may differ. A
     /// consistent document replaces it unless it is older.
-    pub fn offer_mixed(&mut self, document: &Document, acceptor: &dyn Acceptor) -> Offer {
+    pub fn offer_inconsistent(&mut self, document: &Document, acceptor: &dyn Acceptor) -> OfferOutcome {
         if self.entries.contains_key(&document.name)
             || document.version <= self.inconsistent_version(&document.name)
         {
-            return Offer::NotNewer;
+            return OfferOutcome::NotNewer;
         }
         if let Err(error) = acceptor.accept(document) {
-            return Offer::Refused(error);
+            return OfferOutcome::Rejected(error);
         }
         self.inconsistent.insert(document.name.clone(), document.version);
-        Offer::Taken
+        OfferOutcome::Accepted
     }
 
     fn inconsistent_version(&self, name: &DocumentName) -> Version {
@@ -176,13 +176,13 @@
     }
 
     /// Returns what to pull from a node that holds the versions `theirs`.
-    pub fn behind(&self, theirs: &[(DocumentName, Version)]) -> Vec<PullItem> {
+    pub fn pull_items_for(&self, theirs: &[(DocumentName, Version)]) -> Vec<PullItem> {
         let wanted = theirs.iter().filter(|(name, version)| self.wants(name, *version));
         wanted.map(|(name, _)| self.pull_item(name)).collect()
     }
 
     /// Returns the held versions that are newer than `theirs`.
-    pub fn ahead(&self, theirs: &[(DocumentName, Version)]) -> Vec<(DocumentName, Version)> {
+    pub fn newer_than(&self, theirs: &[(DocumentName, Version)]) -> Vec<(DocumentName, Version)> {
         let known = |name: &DocumentName| {
             let found = theirs.iter().find(|(n, _)| n == name);
             found.map(|(_, version)| *version).unwrap_or_default()
@@ -252,13 +252,13 @@
         }
     }
 
-    fn check_conflict(&mut self, document: &Document) -> Offer {
+    fn check_conflict(&mut self, document: &Document) -> OfferOutcome {
         let is_same = self.document(&document.name).is_some_and(|held| held.text == document.text);
         if is_same {
-            return Offer::NotNewer;
+            return OfferOutcome::NotNewer;
         }
         self.conflicts += 1;
-        Offer::Conflict
+        OfferOutcome::Conflict
     }
 
     fn insert(&mut self, document: Document) {
--- a/crates/laurelstall_peer/tests/crash_news.rs
+++ b/crates/laurelstall_peer/tests/crash_news.rs
@@ -16,7 +16,7 @@
 /// Number of reachable nodes that do not quarantine the request.
 fn behind(mesh: &Mesh) -> usize {
     let reachable = mesh.nodes.iter().filter(|(address, _)| !mesh.unreachable.contains(*address));
-    let verdicts = reachable.map(|(_, spread)| spread.crashes().quarantine_status(CRASHING));
+    let verdicts = reachable.map(|(_, replicator)| replicator.crashes().quarantine_status(CRASHING));
     verdicts
         .filter(|quarantine_status| !matches!(quarantine_status, QuarantineStatus::Quarantined { .. }))
         .count()
@@ -34,7 +34,7 @@
 fn report_crash(mesh: &Mesh, node: usize, end: u64) {
     let others = (0..12).map(|number| RequestDigest { whole: 100 * end + number, head: 2 });
     let running = others.chain([CRASHING]).collect::<Vec<_>>();
-    mesh.nodes[node].1.crashes().note_end(end, "team/service", &running);
+    mesh.nodes[node].1.crashes().note_crash(end, "team/service", &running);
 }
 
 /// Time from the second crash, on another node than the first, until all reachable nodes quarantine the
@@ -107,6 +107,6 @@
     let took = time_to_all(&mesh).await;
     assert!(took <= BOUND * 5 / 2, "{took:?}");
     sleep(Duration::from_secs(3)).await;
-    let hashes = mesh.nodes.iter().map(|(_, spread)| spread.crashes().hash()).collect::<Vec<_>>();
+    let hashes = mesh.nodes.iter().map(|(_, replicator)| replicator.crashes().hash()).collect::<Vec<_>>();
     assert!(hashes.iter().all(|hash| *hash == hashes[0]), "{hashes:?}");
 }
--- a/crates/laurelstall_peer/tests/dropped_hosts.rs
+++ b/crates/laurelstall_peer/tests/dropped_hosts.rs
@@ -13,8 +13,8 @@
     client::PeerClient,
     meter::Meter,
     pool::Pool,
+    replicator::{ReplicationView, Replicator, ReplicatorOptions},
     server::PeerServer,
-    spread::{Spread, SpreadOptions, SpreadView},
     store::Acceptor,
 };
 use std::{
@@ -48,12 +48,12 @@
     }
 }
 
-impl SpreadView for ActiveFleet {
+impl ReplicationView for ActiveFleet {
     fn fleet(&self) -> Arc<Fleet> {
         self.fleet.lock().expect("no test panics while it holds it").clone()
     }
 
-    fn spread(&self) -> SpreadLimits {
+    fn spread_limits(&self) -> SpreadLimits {
         SpreadLimits { exchange_interval_ms: self.exchange_interval_ms, ..SpreadLimits::default() }
     }
 }
@@ -61,7 +61,7 @@
 /// Nodes with the same list of hosts, and a platform that answers none of them.
 struct Rig {
     hosts: Vec<Host>,
-    nodes: Vec<Arc<Spread>>,
+    nodes: Vec<Arc<Replicator>>,
     /// Aborted when the rig is dropped.
     _tasks: JoinSet<()>,
 }
@@ -73,16 +73,16 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
             let node_address = listener.local_addr().expect("it listens");
             let name = format!("h-{number}");
-            let spread = node(&name, number as u64, node_address, exchange_interval_ms);
-            let handler = Arc::new(Handler::new(spread.clone()));
+            let replicator = node(&name, number as u64, node_address, exchange_interval_ms);
+            let handler = Arc::new(Handler::new(replicator.clone()));
             rig._tasks.spawn(PeerServer::new(handler, Arc::default()).serve(listener));
-            rig._tasks.spawn(spread.clone().run());
-            rig.nodes.push(spread);
+            rig._tasks.spawn(replicator.clone().run());
+            rig.nodes.push(replicator);
             rig.hosts.push(Host { name, node_address, data_centre: "dc".to_owned(), state: HostState::Live });
         }
         let list = rig.list(1, count);
         for node in &rig.nodes {
-            assert!(node.take(list.clone()));
+            assert!(node.apply(list.clone()));
         }
         rig
     }
@@ -112,8 +112,8 @@
     }
 }
 
-fn node(host: &str, seed: u64, peer_address: SocketAddr, exchange_interval_ms: u64) -> Arc<Spread> {
-    let options = SpreadOptions {
+fn node(host: &str, seed: u64, peer_address: SocketAddr, exchange_interval_ms: u64) -> Arc<Replicator> {
+    let options = ReplicatorOptions {
         host: host.to_owned(),
         data_centre: "dc".to_owned(),
         peer_address,
@@ -126,7 +126,7 @@
     let clock = Clock::new();
     let client = PeerClient::new(Arc::new(Pool::new(clock, Arc::new(Meter::default()), link)));
     let active_fleet = Arc::new(ActiveFleet { fleet: Mutex::default(), exchange_interval_ms });
-    Spread::new(options, clock, client, platform, active_fleet.clone(), active_fleet)
+    Replicator::new(options, clock, client, platform, active_fleet.clone(), active_fleet)
 }
 
 // A node that the new list lacks is nobody's partner any more. Without an offer of that list, it went on
@@ -134,7 +134,7 @@
 #[tokio::test]
 async fn a_node_whose_host_leaves_the_list_is_offered_that_list() {
     let rig = Rig::start(8, NO_EXCHANGES_MS).await;
-    assert!(rig.nodes[0].take(rig.list(2, 7)), "the reader takes a list without the last host");
+    assert!(rig.nodes[0].apply(rig.list(2, 7)), "the reader takes a list without the last host");
     assert!(rig.receives(6, 2).await, "a listed node");
     assert!(rig.receives(7, 2).await, "the removed node");
 }
@@ -144,7 +144,7 @@
 #[tokio::test]
 async fn a_node_whose_host_is_not_listed_exchanges_more_often() {
     let rig = Rig::start(8, 1_000).await;
-    rig.nodes[0].take(rig.list(2, 7));
+    rig.nodes[0].apply(rig.list(2, 7));
     assert!(rig.receives(7, 2).await, "the removed node");
     let (listed_before, unlisted_before) = (rig.exchanges(6), rig.exchanges(7));
     while rig.exchanges(6) < listed_before + 5 {
--- a/crates/laurelstall_peer/tests/eras.rs
+++ b/crates/laurelstall_peer/tests/eras.rs
@@ -43,24 +43,24 @@
     for seed in 1..=3 {
         let mesh = Mesh::start(9, seed).await;
         let old = Version::in_era(0, 100);
-        mesh.nodes[0].1.take(list(old));
+        mesh.nodes[0].1.apply(list(old));
         assert!(time_to_all(&mesh, old).await < BOUND, "seed {seed}");
         let (cut, _) = mesh.nodes[8];
         mesh.unreachable.add(cut);
         // One reader is in the new era already, while another one still takes a list of the old one.
-        mesh.nodes[1].1.take(list(Version::in_era(1, 7)));
-        mesh.nodes[2].1.take(list(Version::in_era(0, 101)));
-        mesh.nodes[8].1.take(list(Version::in_era(0, 102)));
+        mesh.nodes[1].1.apply(list(Version::in_era(1, 7)));
+        mesh.nodes[2].1.apply(list(Version::in_era(0, 101)));
+        mesh.nodes[8].1.apply(list(Version::in_era(0, 102)));
         sleep(Duration::from_millis(500)).await;
         mesh.unreachable.remove(cut);
         let took = time_to_all(&mesh, Version::in_era(1, 7)).await;
         assert!(took < BOUND, "seed {seed}: {took:?}");
         // A second restore, before all nodes have the next list of the first one.
-        mesh.nodes[3].1.take(list(Version::in_era(1, 8)));
-        mesh.nodes[4].1.take(list(Version::in_era(2, 3)));
+        mesh.nodes[3].1.apply(list(Version::in_era(1, 8)));
+        mesh.nodes[4].1.apply(list(Version::in_era(2, 3)));
         let took = time_to_all(&mesh, Version::in_era(2, 3)).await;
         assert!(took < BOUND, "seed {seed}: {took:?}");
-        assert!(mesh.nodes.iter().all(|(_, spread)| spread.platform_era() == 2));
+        assert!(mesh.nodes.iter().all(|(_, replicator)| replicator.platform_era() == 2));
     }
 }
 
@@ -96,7 +96,7 @@
 
     fn read_stale(&self) -> BoxFuture<'_, Result<Option<StaleListing>, PlatformError>> {
         let versions = vec![(DocumentName::System, Version::new(1))];
-        async { Ok(Some(StaleListing { era: 1, versions, mixed: Vec::new() })) }.boxed()
+        async { Ok(Some(StaleListing { era: 1, versions, inconsistent: Vec::new() })) }.boxed()
     }
 
     fn read(&self, _: DocumentName) -> BoxFuture<'_, Result<Document, PlatformError>> {
@@ -109,7 +109,7 @@
 #[tokio::test]
 async fn a_slow_seed_does_not_block_peers_with_newer_documents_than_the_copy() {
     let mesh = Mesh::start(5, 1).await;
-    mesh.nodes[0].1.take(version(2));
+    mesh.nodes[0].1.apply(version(2));
     mesh.time_to_all(2).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let seed = listener.local_addr().expect("it listens");
--- a/crates/laurelstall_peer/tests/lost_nodes.rs
+++ b/crates/laurelstall_peer/tests/lost_nodes.rs
@@ -9,7 +9,7 @@
     document::{DocumentName, Version},
     system::SpreadLimits,
 };
-use laurelstall_peer::{message::Exchange, partners::hosts_ahead};
+use laurelstall_peer::{message::Exchange, partners::preceding_hosts};
 use rand::{SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use std::sync::atomic::Ordering;
 use support::mesh::{Mesh, version};
@@ -27,9 +27,9 @@
     for lost in &order[1..=count * 55 / 100] {
         mesh.unreachable.add(mesh.nodes[*lost].0);
     }
-    mesh.nodes[reader].1.take(version(2));
+    mesh.nodes[reader].1.apply(version(2));
     sleep(later).await;
-    mesh.nodes[reader].1.take(version(3));
+    mesh.nodes[reader].1.apply(version(3));
     mesh.time_to_all(3).await
 }
 
@@ -43,20 +43,20 @@
     // Nodes that receive the offer try to pull version 2 and get no answer.
     let offered = [(DocumentName::System, Version::new(2))];
     mesh.unreachable.add(*first);
-    for (_, spread) in mesh.nodes.iter().filter(|(address, _)| address != first) {
+    for (_, replicator) in mesh.nodes.iter().filter(|(address, _)| address != first) {
         let status = Exchange {
             versions_hash: 1,
             platform_read_age_ms: 0,
             platform_reads_from_age_ms: 0,
             platform_return_age_ms: None,
             crashes_hash: 0,
-            carried_hash: 0,
+            corrections_hash: 0,
             documents_age_ms: 0,
         };
-        spread.note_offer(first.ip(), *first, &status, offered.to_vec());
+        replicator.handle_offer(first.ip(), *first, &status, offered.to_vec());
     }
     sleep(Duration::from_millis(50)).await;
-    second.take(version(2));
+    second.apply(version(2));
     mesh.time_to_all(2).await
 }
 
@@ -88,7 +88,7 @@
     sleep(Duration::from_secs(10)).await;
     let count = SpreadLimits::default().readers_per_data_centre;
     for host in &mesh.fleet.hosts {
-        let ahead = hosts_ahead(&mesh.fleet, &host.name, &host.data_centre).len();
+        let ahead = preceding_hosts(&mesh.fleet, &host.name, &host.data_centre).len();
         match loss {
             _ if ahead >= count + followers => {}
             Loss::Unreachable => mesh.unreachable.add(host.node_address),
--- a/crates/laurelstall_peer/tests/messages.rs
+++ b/crates/laurelstall_peer/tests/messages.rs
@@ -11,10 +11,10 @@
 };
 use laurelstall_guard::refusal::{Refusal, RefusalReason};
 use laurelstall_peer::{
-    carried_news::{CarriedNews, Departed, DepartedHost, EvacuationWord, HostStart},
+    fleet_corrections::{DepartedHost, Departure, EvacuationState, FleetCorrections, HostInstance},
+    fleet_corrector::CHANGES_MAX,
     frame::{HEAD_BYTES_MAX, MESSAGE_VERSION, decode, encode},
     message::{AttemptHead, BodyKind, PeerAnswer, PeerRequest, PullItem},
-    recent_fleet::WORDS_MAX,
 };
 
 /// Length of the version and length fields before each message.
@@ -93,22 +93,23 @@
 fn the_largest_corrections_fit_into_a_request() {
     let longest_name = |number: usize| format!("{number:0>63}");
     let departed = |number: usize| DepartedHost {
-        start: HostStart {
+        instance: HostInstance {
             host: longest_name(number),
             target: longest_name(number),
             started_unix_ms: u64::MAX,
         },
-        departed: Departed::Gone,
+        departure: Departure::Gone,
     };
-    let evacuation = |number: usize| EvacuationWord { data_centre: longest_name(number), is_evacuated: true };
-    let corrections = CarriedNews {
+    let evacuation =
+        |number: usize| EvacuationState { data_centre: longest_name(number), is_evacuated: true };
+    let corrections = FleetCorrections {
         era: u64::MAX,
         age_ms: u64::MAX,
-        departed: (0..WORDS_MAX).map(departed).collect(),
+        departed: (0..CHANGES_MAX).map(departed).collect(),
         unlisted: "a host of a megabyte ".repeat(50_000),
         evacuations: (0..EVACUATED_MAX).map(evacuation).collect(),
     };
-    let request = encode(&PeerRequest::CompareCarried(Some(corrections.in_question())));
+    let request = encode(&PeerRequest::CompareCorrections(Some(corrections.without_unlisted())));
     assert!(request.len() <= HEAD_BYTES_MAX, "{} bytes", request.len());
 }
 
@@ -137,7 +138,7 @@
     let messages = [
         PeerRequest::Attempt(head()),
         PeerRequest::Pull(vec![item]),
-        PeerRequest::CrashNews(vec![report.clone()]),
+        PeerRequest::CrashReports(vec![report.clone()]),
         PeerRequest::CompareCrashes(vec![report]),
     ];
     bolero::check!().with_type::<(usize, usize, u8)>().with_iterations(20_000).for_each(
--- a/crates/laurelstall_peer/tests/on_go.rs
+++ b/crates/laurelstall_peer/tests/on_go.rs
@@ -144,7 +144,7 @@
         hand_backs: 0,
         slow_from_percent: None,
         ticket: None,
-        body: BodyKind::OnGo,
+        body: BodyKind::BufferedAfterAdmission,
         wants_hint: false,
     };
     Attempt { head, body: AttemptBody::Whole("order".into()) }
--- a/crates/laurelstall_peer/tests/partners.rs
+++ b/crates/laurelstall_peer/tests/partners.rs
@@ -1,7 +1,7 @@
 //! Choice of readers and partners.
 
 use laurelstall_config::fleet::{Fleet, Host, HostState};
-use laurelstall_peer::partners::{hosts_ahead, pick_partners};
+use laurelstall_peer::partners::{pick_partners, preceding_hosts};
 use std::collections::{HashSet, VecDeque};
 
 fn fleet(hosts: usize) -> Fleet {
@@ -15,7 +15,7 @@
 }
 
 fn readers(fleet: &Fleet) -> Vec<String> {
-    let reads = |host: &&Host| hosts_ahead(fleet, &host.name, &host.data_centre).len() < 2;
+    let reads = |host: &&Host| preceding_hosts(fleet, &host.name, &host.data_centre).len() < 2;
     fleet.hosts.iter().filter(reads).map(|host| host.name.clone()).collect()
 }
 
--- a/crates/laurelstall_peer/tests/read_span.rs
+++ b/crates/laurelstall_peer/tests/read_span.rs
@@ -12,10 +12,13 @@
 #[test]
 fn reads_without_a_gap_rule_out_an_outage_between_them() {
     let span = reads(1..=20);
-    assert!(span.denies_outage_before(20 * SECOND_US));
-    assert!(span.denies_outage_before(22 * SECOND_US), "the last read lies in the reported outage");
-    assert!(!span.denies_outage_before(20 * SECOND_US + OUTAGE_MIN_US), "no reads are known from that time");
-    assert!(!span.denies_outage_before(3 * SECOND_US), "no reads are known before the first one");
+    assert!(span.rules_out_outage_before(20 * SECOND_US));
+    assert!(span.rules_out_outage_before(22 * SECOND_US), "the last read lies in the reported outage");
+    assert!(
+        !span.rules_out_outage_before(20 * SECOND_US + OUTAGE_MIN_US),
+        "no reads are known from that time"
+    );
+    assert!(!span.rules_out_outage_before(3 * SECOND_US), "no reads are known before the first one");
 }
 
 #[test]
@@ -23,7 +26,7 @@
     let span = reads((1..=10).chain(15..=17));
     assert_eq!(span, ReadSpan { first_us: 15 * SECOND_US, last_us: 17 * SECOND_US });
     for ended_s in 15..=17 {
-        assert!(!span.denies_outage_before(ended_s * SECOND_US), "{ended_s}");
+        assert!(!span.rules_out_outage_before(ended_s * SECOND_US), "{ended_s}");
     }
 }
 
@@ -43,5 +46,5 @@
 fn reads_from_before_the_start_of_a_node_count_like_others() {
     let span = reads(-20..=2);
     assert_eq!(span, ReadSpan { first_us: -20 * SECOND_US, last_us: 2 * SECOND_US });
-    assert!(span.denies_outage_before(SECOND_US) && !span.denies_outage_before(-20 * SECOND_US));
+    assert!(span.rules_out_outage_before(SECOND_US) && !span.rules_out_outage_before(-20 * SECOND_US));
 }
--- a/crates/laurelstall_peer/tests/recent_fleet.rs
+++ b/crates/laurelstall_peer/tests/recent_fleet.rs
@@ -1,7 +1,7 @@
 //! Corrections to the list of hosts after a restore of the platform, at simulated times.
 
 use laurelstall_config::fleet::{Fleet, FleetTarget, Host, HostState};
-use laurelstall_peer::recent_fleet::{REGISTER_GRACE, RecentFleet};
+use laurelstall_peer::fleet_corrector::{FleetCorrector, REGISTRATION_GRACE};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::{collections::BTreeMap, sync::Arc};
 use tokio::time::{Duration, Instant};
@@ -49,18 +49,18 @@
 
 /// The list of hosts that a node follows over time.
 struct View {
-    recent: RecentFleet,
+    recent: FleetCorrector,
     now: Instant,
     in_force: Arc<Fleet>,
 }
 
 impl View {
     fn new() -> Self {
-        Self { recent: RecentFleet::default(), now: Instant::now(), in_force: Arc::default() }
+        Self { recent: FleetCorrector::default(), now: Instant::now(), in_force: Arc::default() }
     }
 
     fn take(&mut self, era: u64, entries: &[Entry], evacuated: &[&str]) {
-        self.recent.take(list(entries, evacuated), era, &self.in_force, self.now);
+        self.recent.update(list(entries, evacuated), era, &self.in_force, self.now);
         self.update();
     }
 
@@ -74,8 +74,8 @@
     }
 
     fn send_corrections(&self, other: &mut Self) {
-        if let Some(corrections) = self.recent.news(self.now) {
-            other.recent.take_news(&corrections, other.now);
+        if let Some(corrections) = self.recent.corrections(self.now) {
+            other.recent.merge(&corrections, other.now);
             other.update();
         }
     }
@@ -144,7 +144,7 @@
     // A host that was listed in the new era is no longer kept.
     view.take(4, &[live("a")], &[]);
     assert_eq!(view.serving(), ["a", "c"]);
-    view.wait(REGISTER_GRACE);
+    view.wait(REGISTRATION_GRACE);
     assert_eq!(view.serving(), ["a"]);
 }
 
@@ -171,7 +171,7 @@
     view.take(0, &[leaving("a")], &["south"]);
     view.take(1, &[live("a"), live("b")], &[]);
     let next = view.recent.next_change(view.now).expect("corrections apply");
-    assert_eq!(next, view.now + REGISTER_GRACE);
+    assert_eq!(next, view.now + REGISTRATION_GRACE);
     view.wait(LONG);
     assert_eq!(view.serving(), ["a", "b"]);
     assert!(view.in_force.evacuated.is_empty());
@@ -195,7 +195,7 @@
     assert_eq!(old.serving(), ["a", "d"]);
     assert_eq!(new.serving(), old.serving());
     assert_eq!(new.in_force.evacuated, ["south"]);
-    new.wait(REGISTER_GRACE);
+    new.wait(REGISTRATION_GRACE);
     assert_eq!(new.serving(), ["a"]);
 }
 
--- a/crates/laurelstall_peer/tests/spreading.rs
+++ b/crates/laurelstall_peer/tests/spreading.rs
@@ -15,7 +15,7 @@
     meter::Meter,
     platform::{Listing, PlatformError, PlatformSource, StaleListing},
     pool::Pool,
-    spread::{Spread, SpreadOptions, SpreadView},
+    replicator::{ReplicationView, Replicator, ReplicatorOptions},
     store::Acceptor,
 };
 use std::{
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    fn expect_lapsed(&self, returned_age_ms: u64) {
+    fn on_platform_outage_end(&self, returned_age_ms: u64) {
         let count = usize::from(returned_age_ms < EXPIRY_AGE_MAX_MS);
         self.expiries.fetch_add(count, Ordering::Relaxed);
     }
@@ -73,12 +73,12 @@
 #[derive(Debug)]
 struct View(Arc<Fleet>);
 
-impl SpreadView for View {
+impl ReplicationView for View {
     fn fleet(&self) -> Arc<Fleet> {
         self.0.clone()
     }
 
-    fn spread(&self) -> SpreadLimits {
+    fn spread_limits(&self) -> SpreadLimits {
         SpreadLimits::default()
     }
 }
@@ -123,7 +123,7 @@
             self.stale_reads.fetch_add(1, Ordering::Relaxed);
             let versions =
                 vec![(DocumentName::System, Version::new(1)), (DocumentName::Fleet, Version::new(1))];
-            Ok(Some(StaleListing { era: 0, versions, mixed: vec![DocumentName::Fleet] }))
+            Ok(Some(StaleListing { era: 0, versions, inconsistent: vec![DocumentName::Fleet] }))
         }
         .boxed()
     }
@@ -147,7 +147,7 @@
     Arc::new(Fleet { hosts: (0..hosts).map(host).collect(), ..Fleet::default() })
 }
 
-fn node(fleet: &Arc<Fleet>, number: usize, platform: &Arc<OneDocument>) -> Arc<Spread> {
+fn node(fleet: &Arc<Fleet>, number: usize, platform: &Arc<OneDocument>) -> Arc<Replicator> {
     node_with(fleet, number, platform, Vec::new(), Arc::new(AllCut), Arc::default())
 }
 
@@ -158,8 +158,8 @@
     seeds: Vec<SocketAddr>,
     link: Arc<dyn Link>,
     acceptor: Arc<AcceptAll>,
-) -> Arc<Spread> {
-    let options = SpreadOptions {
+) -> Arc<Replicator> {
+    let options = ReplicatorOptions {
         host: format!("h-{number}"),
         data_centre: "dc".to_owned(),
         peer_address: ([127, 0, 0, 1], 1_000 + number as u16).into(),
@@ -169,10 +169,10 @@
     let clock = Clock::new();
     let client = PeerClient::new(Arc::new(Pool::new(clock, Arc::new(Meter::default()), link)));
     let view = Arc::new(View(fleet.clone()));
-    Spread::new(options, clock, client, platform.clone(), acceptor, view)
+    Replicator::new(options, clock, client, platform.clone(), acceptor, view)
 }
 
-fn calls(node: &Spread) -> u64 {
+fn calls(node: &Replicator) -> u64 {
     node.counts.platform_calls.load(Ordering::Relaxed)
 }
 
@@ -241,7 +241,7 @@
         platform_reads_from_age_ms: 0,
         platform_return_age_ms: None,
         crashes_hash: 0,
-        carried_hash: 0,
+        corrections_hash: 0,
         documents_age_ms: 0,
     };
     assert!(matches!(node.answer_exchange(&theirs), PeerAnswer::Versions(..)));
@@ -337,8 +337,8 @@
     assert_eq!(node.store().versions(), [(DocumentName::System, Version::new(1))]);
     // A consistent document replaces it unless it is older.
     let whole = |version| Document { name: DocumentName::Fleet, version, text: format!("whole {version}") };
-    assert!(!node.take(whole(Version::NONE)));
-    assert!(node.take(whole(Version::new(1))), "the same version, read consistently");
+    assert!(!node.apply(whole(Version::NONE)));
+    assert!(node.apply(whole(Version::new(1))), "the same version, read consistently");
     assert_eq!(node.store().version(&DocumentName::Fleet), Version::new(1));
 }
 
@@ -362,7 +362,7 @@
         platform_reads_from_age_ms: 0,
         platform_return_age_ms: Some(50_000),
         crashes_hash: 0,
-        carried_hash: 0,
+        corrections_hash: 0,
         documents_age_ms: 0,
     };
     node.answer_exchange(&status);
@@ -384,7 +384,7 @@
         platform_reads_from_age_ms: 900,
         platform_return_age_ms: None,
         crashes_hash: 0,
-        carried_hash: 0,
+        corrections_hash: 0,
         documents_age_ms: 0,
     };
     for _ in 0..20 {
@@ -409,7 +409,7 @@
         platform_reads_from_age_ms: 5_000,
         platform_return_age_ms: None,
         crashes_hash: 0,
-        carried_hash: 0,
+        corrections_hash: 0,
         documents_age_ms: 0,
     };
     let answer = node.answer_exchange(&theirs);
--- a/crates/laurelstall_peer/tests/store.rs
+++ b/crates/laurelstall_peer/tests/store.rs
@@ -6,7 +6,7 @@
 };
 use laurelstall_peer::{
     message::{PullItem, TransferText},
-    store::{Acceptor, Offer, Store},
+    store::{Acceptor, OfferOutcome, Store},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::sync::Mutex;
@@ -34,10 +34,10 @@
 #[test]
 fn an_older_version_is_never_accepted() {
     let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
-    assert!(matches!(store.offer(document(5, "five"), &acceptor), Offer::Taken));
-    assert!(matches!(store.offer(document(4, "four"), &acceptor), Offer::NotNewer));
-    assert!(matches!(store.offer(document(5, "five"), &acceptor), Offer::NotNewer));
-    assert!(matches!(store.offer(document(0, "none"), &acceptor), Offer::NotNewer));
+    assert!(matches!(store.offer(document(5, "five"), &acceptor), OfferOutcome::Accepted));
+    assert!(matches!(store.offer(document(4, "four"), &acceptor), OfferOutcome::NotNewer));
+    assert!(matches!(store.offer(document(5, "five"), &acceptor), OfferOutcome::NotNewer));
+    assert!(matches!(store.offer(document(0, "none"), &acceptor), OfferOutcome::NotNewer));
     assert_eq!(store.document(&DocumentName::System).map(|d| d.text.as_str()), Some("five"));
 }
 
@@ -45,7 +45,7 @@
 fn a_rejected_document_changes_nothing_and_is_not_pulled_again() {
     let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
     store.offer(document(1, "one"), &acceptor);
-    assert!(matches!(store.offer(document(2, "bad"), &acceptor), Offer::Refused(_)));
+    assert!(matches!(store.offer(document(2, "bad"), &acceptor), OfferOutcome::Rejected(_)));
     assert_eq!(store.version(&DocumentName::System), Version::new(1));
     assert!(!store.wants(&DocumentName::System, Version::new(2)));
     assert!(store.wants(&DocumentName::System, Version::new(3)));
@@ -58,7 +58,7 @@
 fn the_same_version_with_another_text_is_a_conflict_and_changes_nothing() {
     let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
     store.offer(document(1, "one"), &acceptor);
-    assert!(matches!(store.offer(document(1, "other"), &acceptor), Offer::Conflict));
+    assert!(matches!(store.offer(document(1, "other"), &acceptor), OfferOutcome::Conflict));
     assert_eq!(store.document(&DocumentName::System).map(|d| d.text.as_str()), Some("one"));
     assert_eq!(store.conflicts(), 1);
 }
@@ -71,7 +71,7 @@
     ahead.offer(document(1, &long), &acceptor);
     behind.offer(document(1, &long), &acceptor);
     ahead.offer(document(2, &long.replace("line 7 ", "line seven ")), &acceptor);
-    let items = behind.behind(&ahead.versions());
+    let items = behind.pull_items_for(&ahead.versions());
     let transfer = ahead.pack(&items[0]).expect("it is newer");
     let TransferText::Delta(packed) = &transfer.text else { panic!("the base is known") };
     assert!(packed.len() * 20 < long.len(), "{} bytes", packed.len());
@@ -95,7 +95,7 @@
     behind.offer(document(1, &text(1)), &acceptor);
     for version in [2, 3] {
         ahead.offer(document(version, &text(version)), &acceptor);
-        let items = behind.behind(&ahead.versions());
+        let items = behind.pull_items_for(&ahead.versions());
         let first = ahead.pack(&items[0]).expect("it is newer");
         assert_eq!(ahead.pack(&items[0]), Some(first.clone()));
         assert_eq!(
--- a/crates/laurelstall_peer/tests/support/mesh.rs
+++ b/crates/laurelstall_peer/tests/support/mesh.rs
@@ -18,8 +18,8 @@
     meter::Meter,
     platform::{Listing, PlatformError, PlatformSource},
     pool::Pool,
+    replicator::{ReplicationView, Replicator, ReplicatorOptions},
     server::{PeerHandler, PeerServer},
-    spread::{Spread, SpreadOptions, SpreadView},
     store::Acceptor,
 };
 use std::{
@@ -91,12 +91,12 @@
 #[derive(Debug)]
 pub struct View(Arc<Fleet>);
 
-impl SpreadView for View {
+impl ReplicationView for View {
     fn fleet(&self) -> Arc<Fleet> {
         self.0.clone()
     }
 
-    fn spread(&self) -> SpreadLimits {
+    fn spread_limits(&self) -> SpreadLimits {
         SpreadLimits::default()
     }
 }
@@ -173,19 +173,19 @@
 
 impl AttemptHandler for NoTarget {
     fn attempt(&self, _: Attempt, _: Admission) -> BoxFuture<'_, AttemptAnswer> {
-        async { AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::Lost("no target"))) }.boxed()
+        async { AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost("no target"))) }.boxed()
     }
 }
 
 #[derive(Debug)]
 pub struct Handler {
-    spread: Arc<Spread>,
+    replicator: Arc<Replicator>,
     target: NoTarget,
 }
 
 impl Handler {
-    pub fn new(spread: Arc<Spread>) -> Self {
-        Self { spread, target: NoTarget }
+    pub fn new(replicator: Arc<Replicator>) -> Self {
+        Self { replicator, target: NoTarget }
     }
 }
 
@@ -200,19 +200,21 @@
 
     fn answer(&self, from: IpAddr, request: PeerRequest) -> BoxFuture<'_, PeerAnswer> {
         let answer = match request {
-            PeerRequest::Exchange(exchange) => self.spread.answer_exchange(&exchange),
-            PeerRequest::Pull(items) => self.spread.answer_pull(&items),
+            PeerRequest::Exchange(exchange) => self.replicator.answer_exchange(&exchange),
+            PeerRequest::Pull(items) => self.replicator.answer_pull(&items),
             PeerRequest::Offer(address, status, versions) => {
-                self.spread.note_offer(from, address, &status, versions);
+                self.replicator.handle_offer(from, address, &status, versions);
                 PeerAnswer::Noted
             }
-            PeerRequest::CanRead => self.spread.answer_can_read(),
-            PeerRequest::CrashNews(reports) => {
-                self.spread.crashes().take_news(&reports);
+            PeerRequest::CanRead => self.replicator.answer_can_read(),
+            PeerRequest::CrashReports(reports) => {
+                self.replicator.crashes().merge_reports(&reports);
                 PeerAnswer::Noted
             }
-            PeerRequest::CompareCrashes(reports) => self.spread.answer_crashes(&reports),
-            PeerRequest::CompareCarried(corrections) => self.spread.answer_carried(corrections.as_ref()),
+            PeerRequest::CompareCrashes(reports) => self.replicator.answer_crashes(&reports),
+            PeerRequest::CompareCorrections(corrections) => {
+                self.replicator.answer_corrections(corrections.as_ref())
+            }
             _ => PeerAnswer::Noted,
         };
         async { answer }.boxed()
@@ -221,7 +223,7 @@
 
 /// Nodes on loopback that know each other.
 pub struct Mesh {
-    pub nodes: Vec<(SocketAddr, Arc<Spread>)>,
+    pub nodes: Vec<(SocketAddr, Arc<Replicator>)>,
     pub unreachable: Arc<HostSet>,
     pub fleet: Arc<Fleet>,
     pub platform: Arc<Platform>,
@@ -256,12 +258,12 @@
             let own = address(&listener);
             let link = Arc::new(HostLink::new(own, unreachable.clone()));
             let host_platform = HostPlatform::new(own, platform.clone(), unreachable.clone());
-            let spread = node(&fleet, number, seed, link, Arc::new(host_platform));
-            spread.take(version(1));
-            let handler = Arc::new(Handler::new(spread.clone()));
+            let replicator = node(&fleet, number, seed, link, Arc::new(host_platform));
+            replicator.apply(version(1));
+            let handler = Arc::new(Handler::new(replicator.clone()));
             tasks.spawn(PeerServer::new(handler, Arc::default()).serve(listener));
-            tasks.spawn(spread.clone().run());
-            nodes.push((own, spread));
+            tasks.spawn(replicator.clone().run());
+            nodes.push((own, replicator));
         }
         Self { nodes, unreachable, fleet, platform, _tasks: tasks }
     }
@@ -277,10 +279,13 @@
 
     /// Number of reachable nodes that do not hold this version yet.
     pub fn behind(&self, number: u64) -> usize {
-        let is_reachable = |(address, _): &&(SocketAddr, Arc<Spread>)| !self.unreachable.contains(*address);
+        let is_reachable =
+            |(address, _): &&(SocketAddr, Arc<Replicator>)| !self.unreachable.contains(*address);
         let nodes = self.nodes.iter().filter(is_reachable);
         nodes
-            .filter(|(_, spread)| spread.store().version(&DocumentName::System) < Version::new(number))
+            .filter(|(_, replicator)| {
+                replicator.store().version(&DocumentName::System) < Version::new(number)
+            })
             .count()
     }
 }
@@ -291,9 +296,9 @@
     seed: u64,
     link: Arc<dyn Link>,
     platform: Arc<dyn PlatformSource>,
-) -> Arc<Spread> {
+) -> Arc<Replicator> {
     let host = &fleet.hosts[number];
-    let options = SpreadOptions {
+    let options = ReplicatorOptions {
         host: host.name.clone(),
         data_centre: host.data_centre.clone(),
         peer_address: host.node_address,
@@ -303,5 +308,5 @@
     let clock = Clock::new();
     let client = PeerClient::new(Arc::new(Pool::new(clock, Arc::new(Meter::default()), link)));
     let view = Arc::new(View(fleet.clone()));
-    Spread::new(options, clock, client, platform, Arc::new(AcceptAll), view)
+    Replicator::new(options, clock, client, platform, Arc::new(AcceptAll), view)
 }
--- a/crates/laurelstall_standin/src/fleet_bench.rs
+++ b/crates/laurelstall_standin/src/fleet_bench.rs
@@ -333,7 +333,7 @@
                 let seen = self.seen.entry((index, name.clone())).or_insert((*version, Some(start)));
                 // A node that was started again may lag, but must not serve what is older than
                 // what its host had served, once it has joined.
-                if *version < seen.0 && node.spread.is_joined() {
+                if *version < seen.0 && node.replicator.is_joined() {
                     self.fell_back += 1;
                 }
                 *seen = (*version, Some(start));
--- a/crates/laurelstall_standin/src/node_thread.rs
+++ b/crates/laurelstall_standin/src/node_thread.rs
@@ -8,7 +8,7 @@
     node::{Node, NodeError, NodeOptions},
     target_guard::TargetGuard,
 };
-use laurelstall_peer::{meter::Meter, spread::Spread};
+use laurelstall_peer::{meter::Meter, replicator::Replicator};
 use std::{net::SocketAddr, sync::Arc, thread};
 use tokio::{
     sync::{mpsc, oneshot},
@@ -33,7 +33,7 @@
     /// Counts.
     pub counters: Arc<Counters>,
     /// The spreading of configuration.
-    pub spread: Arc<Spread>,
+    pub replicator: Arc<Replicator>,
     /// The configuration in force.
     pub active: Arc<ActiveConfig>,
     /// The guard.
@@ -70,7 +70,7 @@
                 peer_address: node.peer_address,
                 admin_address: node.admin_address,
                 counters: node.counters.clone(),
-                spread: node.spread.clone(),
+                replicator: node.replicator.clone(),
                 active: node.active.clone(),
                 guard: node.guard.clone(),
                 entry: node.entry.clone(),
--- a/crates/laurelstall_standin/tests/administration.rs
+++ b/crates/laurelstall_standin/tests/administration.rs
@@ -105,9 +105,9 @@
     plan.tokens = tokens();
     let harness = start(plan).await;
     let digest = RequestDigest { whole: 0xab, head: 1 };
-    let crashes = |node: usize| harness.nodes()[node].1.spread.crashes().clone();
+    let crashes = |node: usize| harness.nodes()[node].1.replicator.crashes().clone();
     for end in 1..=2 {
-        crashes(0).note_end(end, "standin/market-board", &[digest]);
+        crashes(0).note_crash(end, "standin/market-board", &[digest]);
     }
     let admin = harness.nodes()[0].1.admin_address;
     let held = async |token: &str| {
--- a/crates/laurelstall_standin/tests/observing.rs
+++ b/crates/laurelstall_standin/tests/observing.rs
@@ -27,11 +27,11 @@
     let nodes = harness.nodes();
     let client = nodes[0].1.entry.context.client.clone();
     let (address, meter) = (nodes[1].1.peer_address, nodes[0].1.meter().clone());
-    client.ask(address, &PeerRequest::Probe).await.expect("an answer");
+    client.request(address, &PeerRequest::Probe).await.expect("an answer");
     let before = bytes(&meter);
     let mut answered = 0;
     for _ in 0..PROBES {
-        let answer = client.ask(address, &PeerRequest::Probe).await.expect("an answer");
+        let answer = client.request(address, &PeerRequest::Probe).await.expect("an answer");
         answered += u64::from(matches!(answer, PeerAnswer::Probed(Some(_))));
     }
     let spent = bytes(&meter) - before;
