--- a/crates/laurelstall_guard/src/adaptive_limit.rs
+++ b/crates/laurelstall_guard/src/adaptive_limit.rs
@@ -4,6 +4,9 @@
 //! found by trials: while calls wait, another limit applies for a few dozen calls, and stays if the result is
 //! better. The baseline that a trial is compared with is measured in the same seconds, so that other causes
 //! of longer run times affect both.
+//!
+//! Here a trial is a test of another limit and the baseline its control measurement; neither has to do with
+//! the load balancer's baseline algorithms or with trial requests of a quarantine.
 
 use laurelstall_balance::class_times::{CallClass, ClassTimes};
 
@@ -81,13 +84,13 @@
     started: u32,
     ended: u32,
     counted: u32,
-    sum: f64,
+    slowdown_sum: f64,
     until_us: u64,
 }
 
 impl Trial {
     fn utility(&self) -> f64 {
-        utility(self.limit, self.sum / f64::from(self.counted.max(1)))
+        utility(self.limit, self.slowdown_sum / f64::from(self.counted.max(1)))
     }
 }
 
@@ -97,10 +100,11 @@
     not_before_us: u64,
 }
 
+/// Mean of run times divided by the mean of their class, measured at the settled limit.
 #[derive(Debug, Clone, Copy, Default)]
 struct Baseline {
     number: u32,
-    mean: f64,
+    mean_slowdown: f64,
     calls: u32,
     last_us: u64,
 }
@@ -185,18 +189,18 @@
     /// Records the end of a call that ran `run_us` µs at the target's normal speed; `None` when the speed
     /// changed meanwhile or the run was not completed.
     pub fn note_end(&mut self, class: CallClass, sample: SampleKind, run_us: Option<f64>, now_us: u64) {
-        let usual_us = self.times.mean_us(class);
+        let mean_us = self.times.mean_us(class);
         if let Some(run_us) = run_us {
             self.times.note(class, run_us);
         }
-        let relative = run_us.zip(usual_us).map(|(run_us, usual_us)| run_us / usual_us.max(1.0));
+        let slowdown = run_us.zip(mean_us).map(|(run_us, mean_us)| run_us / mean_us.max(1.0));
         match sample {
             SampleKind::Unused => {}
             SampleKind::Baseline(number) if number == self.baseline.number => {
-                self.note_baseline(relative, now_us)
+                self.note_baseline(slowdown, now_us)
             }
             SampleKind::Baseline(_) => {}
-            SampleKind::Trial(number) => self.note_trial(number, relative, now_us),
+            SampleKind::Trial(number) => self.note_trial(number, slowdown, now_us),
         }
         self.end_trial_if_due(now_us);
         self.start_trial_if_due(now_us);
@@ -208,8 +212,8 @@
         self.replace_limit(lowered.max(self.floor));
     }
 
-    fn note_baseline(&mut self, relative: Option<f64>, now_us: u64) {
-        let Some(relative) = relative else { return };
+    fn note_baseline(&mut self, slowdown: Option<f64>, now_us: u64) {
+        let Some(slowdown) = slowdown else { return };
         let baseline = &mut self.baseline;
         if now_us.saturating_sub(baseline.last_us) > BASELINE_AGE_MAX_US {
             baseline.calls = 0;
@@ -217,15 +221,15 @@
         baseline.calls = baseline.calls.saturating_add(1);
         baseline.last_us = now_us;
         let weight = BASELINE_WEIGHT.max(1.0 / f64::from(baseline.calls));
-        baseline.mean += weight * (relative - baseline.mean);
+        baseline.mean_slowdown += weight * (slowdown - baseline.mean_slowdown);
     }
 
-    fn note_trial(&mut self, number: u32, relative: Option<f64>, _now_us: u64) {
+    fn note_trial(&mut self, number: u32, slowdown: Option<f64>, _now_us: u64) {
         let Some(trial) = self.trial.as_mut().filter(|trial| trial.number == number) else { return };
         trial.ended += 1;
-        if let Some(relative) = relative {
+        if let Some(slowdown) = slowdown {
             trial.counted += 1;
-            trial.sum += relative;
+            trial.slowdown_sum += slowdown;
         }
     }
 
@@ -250,7 +254,7 @@
                 started: 0,
                 ended: 0,
                 counted: 0,
-                sum: 0.0,
+                slowdown_sum: 0.0,
                 until_us: now_us + TRIAL_MAX_US,
             });
             return;
@@ -258,7 +262,7 @@
     }
 
     fn end_trial_if_due(&mut self, now_us: u64) {
-        let baseline_utility = utility(self.limit, self.baseline.mean);
+        let baseline_utility = utility(self.limit, self.baseline.mean_slowdown);
         let is_due = |trial: &mut Trial| {
             let is_much_worse =
                 trial.counted >= ABORT_CALLS && trial.utility() < ABORT_SHARE * baseline_utility;
@@ -301,9 +305,10 @@
     }
 }
 
-/// Returns the utility of running `limit` calls at once when each takes `mean` times its usual time.
-fn utility(limit: u32, mean: f64) -> f64 {
-    f64::from(limit).powf(CONCURRENCY_EXPONENT) / mean.max(0.01)
+/// Returns the utility of running `limit` calls at once when each takes `mean_slowdown` times the mean run
+/// time of its class.
+fn utility(limit: u32, mean_slowdown: f64) -> f64 {
+    f64::from(limit).powf(CONCURRENCY_EXPONENT) / mean_slowdown.max(0.01)
 }
 
 fn percent_of(slots: u32, percent: u32) -> u32 {
--- a/crates/laurelstall_guard/src/admission_request.rs
+++ b/crates/laurelstall_guard/src/admission_request.rs
@@ -68,14 +68,14 @@
     pub importance: u8,
     /// Whether the workspace has more calls at this guard than its share; set by the guard on admission.
     pub is_over_share: bool,
-    /// Whether the call is a retry after an earlier attempt of its caller.
-    pub is_retry: bool,
+    /// Whether the caller appears to be retrying an earlier call, judged by its time budget.
+    pub is_caller_retry: bool,
 }
 
 impl Rank {
     /// Creates the rank of a call whose workspace is within its share.
-    pub fn new(importance: u8, is_retry: bool) -> Self {
-        Self { importance, is_over_share: false, is_retry }
+    pub fn new(importance: u8, is_caller_retry: bool) -> Self {
+        Self { importance, is_over_share: false, is_caller_retry }
     }
 
     /// Whether this is a nested call, which a running call waits for.
--- a/crates/laurelstall_guard/src/cold_start_limiter.rs
+++ b/crates/laurelstall_guard/src/cold_start_limiter.rs
@@ -1,9 +1,9 @@
 //! Limits the rate of calls to a target that is in its cold start.
 //!
 //! After a start, a power loss or an evacuation a target works slowly for some seconds and survives only a
-//! configured number of calls per second; above that it crashes and has to start again. Short calls pass that
-//! rate long before they fill the target's slots. The guard sees every call to its target, so it enforces the
-//! limit on what it has sent, whatever the state of the target is thought to be.
+//! configured number of calls per second; above that it crashes and has to start again. Short calls exceed
+//! that rate long before they fill the target's slots. The guard sees every call to its target, so it
+//! enforces the limit on what it has sent, whatever the state of the target is thought to be.
 
 use std::collections::VecDeque;
 
@@ -25,11 +25,11 @@
 /// Added to the remaining cold time that a target reports, in µs, because the report is rounded and some ms
 /// old.
 const COLD_MARGIN_US: u64 = 50_000;
-/// Share of the limit that other calls leave free while nested calls were sent within the window, so that a
-/// flood of other calls does not starve nested ones.
+/// Share of the limit that calls which are not nested leave free while nested calls were sent within the
+/// window, so that a flood of the former does not starve nested ones.
 const NESTED_SHARE: f64 = 0.1;
-/// Share of the limit that nested calls leave to other calls, so that neither kind is starved.
-const OTHERS_SHARE_MIN: f64 = 0.2;
+/// Share of the limit that nested calls leave to those that are not nested, so that neither kind is starved.
+const UNNESTED_SHARE_MIN: f64 = 0.2;
 
 /// A call that was sent to the target.
 #[derive(Debug, Clone, Copy)]
@@ -48,8 +48,8 @@
 /// What the target reported about its cold start.
 #[derive(Debug, Clone, Copy)]
 struct ColdReport {
-    /// Calls sent from this time on, in µs of the guard's clock, rely on the report: when it was requested,
-    /// or when a cold target was to be warm.
+    /// Calls sent from this time on, in µs of the guard's clock, count as sent on the strength of the report:
+    /// the time of the query if the target was warm, or else the reported end of the cold start.
     since_us: u64,
     /// End of the cold start, in µs of the guard's clock; in the past for a warm target.
     until_us: u64,
@@ -57,9 +57,9 @@
 
 /// Sliding-window limit on the calls that a target gets while it is not known to be warm.
 ///
-/// The limit holds without anyone noticing the cold start. It is exceeded only after the target reported that
-/// it is warm, and by no more calls per report than the limit itself: if the target turns cold right after a
-/// report, these are all that it gets before the window counts.
+/// The limit applies by default; no component has to detect the cold start first. It is exceeded only after
+/// the target reported that it is warm, and by no more calls per report than the limit itself: if the target
+/// turns cold right after a report, it gets at most that many calls before the limit applies again.
 #[derive(Debug, Clone, Default)]
 pub struct ColdStartLimiter {
     /// Maximum number of calls within [`WINDOW_US`]; `None` when there is no limit.
@@ -147,11 +147,11 @@
             return true;
         }
         let used = self.used(now_us);
-        let are_others_below_share =
-            self.other_calls(now_us) < (calls_max as f64 * OTHERS_SHARE_MIN) as usize;
+        let are_unnested_below_share =
+            self.unnested_calls(now_us) < (calls_max as f64 * UNNESTED_SHARE_MIN) as usize;
         let kept = match is_nested {
-            true => usize::from(are_others_below_share),
-            false if are_others_below_share => 0,
+            true => usize::from(are_unnested_below_share),
+            false if are_unnested_below_share => 0,
             false => self.kept_for_nested(calls_max, now_us),
         };
         used + kept < calls_max
@@ -255,7 +255,7 @@
         self.reserved + self.sent.iter().filter(|sent| sent.at_us >= report.since_us).count()
     }
 
-    /// Returns the capacity that other calls leave free for nested ones.
+    /// Returns the capacity that calls which are not nested leave free for nested ones.
     fn kept_for_nested(&self, calls_max: usize, now_us: u64) -> usize {
         let are_nested_recent = self.sent.iter().any(|sent| sent.is_nested && sent.is_in_window(now_us));
         if are_nested_recent { (calls_max as f64 * NESTED_SHARE) as usize } else { 0 }
@@ -267,7 +267,7 @@
     }
 
     /// Counts the calls sent within the window that are not nested.
-    fn other_calls(&self, now_us: u64) -> usize {
+    fn unnested_calls(&self, now_us: u64) -> usize {
         self.sent.iter().filter(|sent| !sent.is_nested && sent.is_in_window(now_us)).count()
     }
 }
--- a/crates/laurelstall_guard/src/guard.rs
+++ b/crates/laurelstall_guard/src/guard.rs
@@ -11,23 +11,23 @@
 };
 use laurelstall_balance::hint::NORMAL_PERCENT;
 use permit::{PermitOwner, Run};
+use queued_call::{QueueOwner, QueuedCall, StartOrWait, TimedWait};
 use state::{QueryState, State};
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
     atomic::{AtomicU64, Ordering},
 };
 use tokio::{sync::Notify, time::timeout_at};
-use waiting::{QueueOwner, StartOrWait, Wait, Waiting};
 
 mod permit;
+mod queued_call;
 mod state;
-mod waiting;
 
 pub use permit::Permit;
 
 /// How long after the start of draining a call that was already queued may still start, in µs: a draining
 /// target stops soon after, and the call must be able to end before that.
-const DRAIN_START_MAX_US: u64 = 1_000_000;
+const DRAIN_GRACE_US: u64 = 1_000_000;
 /// How far the queue timeout of a held call is extended at a time once an answer in time is impossible, in
 /// µs.
 const HOLD_EXTENSION_US: u64 = 10_000;
@@ -102,7 +102,7 @@
 
     /// Returns whether the guard has been draining for so long that queued calls may not start any more.
     pub fn is_drain_grace_over(&self) -> bool {
-        self.draining_for_us().is_some_and(|draining_us| draining_us > DRAIN_START_MAX_US)
+        self.draining_for_us().is_some_and(|draining_us| draining_us > DRAIN_GRACE_US)
     }
 
     /// Waits until no call runs or waits.
@@ -128,12 +128,12 @@
         let state = self.lock();
         let oldest_us = state.running.values().next().map_or(0, |start| now_us.saturating_sub(*start));
         let slowness_percent = state.speed.slowness_percent(now_us);
-        let oldest_usual_us = oldest_us * u64::from(NORMAL_PERCENT) / u64::from(slowness_percent);
+        let oldest_normal_us = oldest_us * u64::from(NORMAL_PERCENT) / u64::from(slowness_percent);
         GuardLoad {
             in_flight: state.running.len() as u32,
             queued: state.queue.len() as u32,
             limit: state.effective_limit(now_us),
-            service_us: (state.mean_run_us as u64).max(oldest_usual_us / 2).min(u64::from(u32::MAX)) as u32,
+            service_us: (state.mean_run_us as u64).max(oldest_normal_us / 2).min(u64::from(u32::MAX)) as u32,
             slowness_percent,
             is_draining: self.is_draining(),
         }
@@ -148,7 +148,7 @@
     ///
     /// A [`Refusal`] when the call is not admitted: no byte of it has reached the target.
     pub async fn admit(self: &Arc<Self>, mut request: AdmissionRequest) -> Result<Permit, Refusal> {
-        let call = self.workspaces.enter(request.workspace_share);
+        let call = self.workspaces.count_call(request.workspace_share);
         request.rank.is_over_share = self.workspaces.is_over_share(request.workspace_share);
         let permit = self.admit_ranked(request).await?;
         Ok(permit.with_call(call))
@@ -157,21 +157,21 @@
     async fn admit_ranked(self: &Arc<Self>, request: AdmissionRequest) -> Result<Permit, Refusal> {
         let mut wait = match self.start_or_enqueue(&request)? {
             StartOrWait::Running(permit) => return Ok(permit),
-            StartOrWait::Waiting(wait) => wait,
+            StartOrWait::Queued(wait) => wait,
         };
         self.report_needed.notify_one();
         loop {
-            match timeout_at(wait.until, &mut wait.waiting.woken).await {
-                Ok(Ok(Wake::Start)) => return self.start_woken(wait.waiting, &request),
+            match timeout_at(wait.until, &mut wait.call.woken).await {
+                Ok(Ok(Wake::Start)) => return self.start_woken(wait.call, &request),
                 Ok(Ok(Wake::Refused(reason))) => {
-                    wait.waiting.is_in_queue = false;
+                    wait.call.is_in_queue = false;
                     self.notify_if_idle();
                     return Err(self.refusal(reason));
                 }
                 // The sender was dropped because a more important call took the place in the queue.
                 Ok(Err(_)) => return Err(self.refusal(RefusalReason::QueueFull)),
                 Err(_) if self.extend_hold(&mut wait, &request) => {}
-                Err(_) => return self.leave_queue(wait.waiting, &request, wait.hands_back),
+                Err(_) => return self.leave_queue(wait.call, &request, wait.hands_back),
             }
         }
     }
@@ -252,7 +252,7 @@
             let due_us = {
                 let mut state = self.lock();
                 state.admit_waiting(now_us);
-                if state.is_report_needed(now_us) || state.needs_cold_report(now_us) {
+                if state.is_load_report_due(now_us) || state.is_cold_report_due(now_us) {
                     state.note_query_started();
                     return;
                 }
@@ -280,15 +280,15 @@
             return Err(Refusal::new(RefusalReason::Deadline));
         }
         state.assume_run_time(request);
-        let needs_report = state.has_slot() && state.needs_report(request, now_us);
-        if !needs_report {
+        let waits_for_report = state.has_slot() && state.is_report_worth_it(request, now_us);
+        if !waits_for_report {
             if let Some(reason) = state.refusal_by_speed(request, now_us) {
                 drop(state);
                 return Err(self.refusal(reason));
             }
             if state.may_start(request, now_us) {
                 let permit = self.start(&mut state, request, now_us);
-                if state.needs_cold_report(now_us) {
+                if state.is_cold_report_due(now_us) {
                     self.report_needed.notify_one();
                 }
                 return Ok(StartOrWait::Running(permit));
@@ -311,22 +311,22 @@
             drop(state);
             return Err(self.refusal(RefusalReason::QueueFull));
         }
-        let (key, woken) = state.queue.push(request, !needs_report);
+        let (key, woken) = state.queue.push(request, !waits_for_report);
         state.admit_waiting(now_us);
         state.refuse_late(now_us);
         let hand_back_delay_us = state.hand_back_delay_us(wait_max_us) << request.hand_backs.min(6);
         let hands_back = request.may_hand_back && hand_back_delay_us < wait_max_us;
         let wait_us = if hands_back { hand_back_delay_us } else { wait_max_us };
         let until = self.clock.instant_of(now_us + wait_us);
-        let waiting = Waiting { owner: self.clone(), key, woken, is_in_queue: true };
-        Ok(StartOrWait::Waiting(Wait { waiting, until, hands_back }))
+        let call = QueuedCall { owner: self.clone(), key, woken, is_in_queue: true };
+        Ok(StartOrWait::Queued(TimedWait { call, until, hands_back }))
     }
 
     /// Extends the wait of a held call as long as it can still be answered before its deadline.
-    fn extend_hold(&self, wait: &mut Wait, request: &AdmissionRequest) -> bool {
+    fn extend_hold(&self, wait: &mut TimedWait, request: &AdmissionRequest) -> bool {
         let now_us = self.clock.now_us();
         let mut state = self.lock();
-        if wait.hands_back || !state.has_room(request, now_us) {
+        if wait.hands_back || !state.has_slot_and_capacity(request, now_us) {
             return false;
         }
         let run_us = state.service_us(now_us);
@@ -355,20 +355,20 @@
         Permit::new(self.clone(), run)
     }
 
-    /// Returns the permit of a woken call, whose slot is reserved already.
+    /// Replaces the reserved slot of a woken call by a run and returns its permit.
     fn start_reserved(self: &Arc<Self>, request: &AdmissionRequest) -> Permit {
         let now_us = self.clock.now_us();
         let mut state = self.lock();
-        state.drop_reserved();
+        state.release_reserved_slot();
         self.start(&mut state, request, now_us)
     }
 
     fn start_woken(
         self: &Arc<Self>,
-        mut waiting: Waiting,
+        mut call: QueuedCall,
         request: &AdmissionRequest,
     ) -> Result<Permit, Refusal> {
-        waiting.is_in_queue = false;
+        call.is_in_queue = false;
         let permit = self.start_reserved(request);
         if request.deadline_us <= permit.start_us() {
             permit.release_uncounted();
@@ -383,17 +383,18 @@
 
     fn leave_queue(
         self: &Arc<Self>,
-        mut waiting: Waiting,
+        mut call: QueuedCall,
         request: &AdmissionRequest,
         hands_back: bool,
     ) -> Result<Permit, Refusal> {
-        let was_waiting = self.lock().queue.remove(&waiting.key);
-        waiting.is_in_queue = false;
-        if !was_waiting && waiting.woken.try_recv() == Ok(Wake::Start) {
+        let was_waiting = self.lock().queue.remove(&call.key);
+        call.is_in_queue = false;
+        if !was_waiting && call.woken.try_recv() == Ok(Wake::Start) {
             // Woken at the moment it gave up: the reserved slot belongs to this call.
-            return self.start_woken(waiting, request);
+            return self.start_woken(call, request);
         }
         self.notify_if_idle();
+        // The call waited as long as it may; the entry treats this like a full queue.
         let reason = if hands_back { RefusalReason::HandedBack } else { RefusalReason::QueueFull };
         Err(self.refusal(reason))
     }
@@ -426,12 +427,12 @@
         state.end(run.number, run.is_sent);
         let slowness_percent = state.speed.slowness_percent(now_us);
         let run_us = now_us.saturating_sub(run.start_us) as f64;
-        let usual_us = run_us * f64::from(NORMAL_PERCENT) / f64::from(slowness_percent);
+        let normal_run_us = run_us * f64::from(NORMAL_PERCENT) / f64::from(slowness_percent);
         if run.is_counted {
-            state.note_run(usual_us);
+            state.note_run(normal_run_us);
         }
         let is_measured = run.is_counted && run.slowness_percent == slowness_percent;
-        let measured_us = is_measured.then_some(usual_us);
+        let measured_us = is_measured.then_some(normal_run_us);
         let limit_before = state.limit.settled();
         state.limit.note_end(run.class, run.sample, measured_us, now_us);
         let limit = state.limit.settled();
@@ -457,7 +458,7 @@
     fn release_reserved(&self) {
         let now_us = self.clock.now_us();
         let mut state = self.lock();
-        state.drop_reserved();
+        state.release_reserved_slot();
         state.admit_waiting(now_us);
     }
 
--- a/crates/laurelstall_guard/src/guard/waiting.rs
+++ b/crates/laurelstall_guard/src/guard/queued_call.rs
@@ -10,12 +10,12 @@
     /// The call runs.
     Running(Permit),
     /// The call is queued.
-    Waiting(Wait),
+    Queued(TimedWait),
 }
 
 /// A queued call with its timeout.
-pub(super) struct Wait {
-    pub(super) waiting: Waiting,
+pub(super) struct TimedWait {
+    pub(super) call: QueuedCall,
     /// When the call leaves the queue if it was not woken.
     pub(super) until: Instant,
     /// Whether it is handed back at that time, rather than refused.
@@ -35,14 +35,14 @@
 }
 
 /// A call in the queue; dropping it removes it, or releases the slot it was woken for.
-pub(super) struct Waiting {
+pub(super) struct QueuedCall {
     pub(super) owner: Arc<dyn QueueOwner>,
     pub(super) key: QueueKey,
     pub(super) woken: oneshot::Receiver<Wake>,
     pub(super) is_in_queue: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedCall {
     fn drop(&mut self) {
         if !self.is_in_queue {
             return;
--- a/crates/laurelstall_guard/src/guard/state.rs
+++ b/crates/laurelstall_guard/src/guard/state.rs
@@ -39,8 +39,8 @@
 const QUERY_GAP_MIN_US: u64 = 20_000;
 /// Reports younger than this are not refreshed, in µs.
 const REPORT_FRESH_US: u64 = 5_000;
-/// Probability that the target is still in the phase of its last report from which calls are refused as slow;
-/// below it, trying another target is not worth the time.
+/// Calls are refused as slow only if the target is with at least this probability still in the phase that it
+/// last reported; otherwise trying another target is not worth the time.
 const SAME_PHASE_PROBABILITY_MIN: f64 = 0.8;
 /// How far beyond the next free capacity the retry times given to refused callers are spread, in µs. Callers
 /// retry within a third of their remaining time, which is rarely longer.
@@ -136,12 +136,12 @@
     }
 
     /// Returns whether a call may start now: a slot is free and the cold-start limit allows it.
-    pub(super) fn has_room(&self, request: &AdmissionRequest, now_us: u64) -> bool {
+    pub(super) fn has_slot_and_capacity(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         self.has_slot() && self.cold.has_capacity(request.rank.is_nested(), now_us)
     }
 
-    /// Returns whether the target has to be queried about its cold start.
-    pub(super) fn needs_cold_report(&self, now_us: u64) -> bool {
+    /// Returns whether the target has to be queried about its cold start now.
+    pub(super) fn is_cold_report_due(&self, now_us: u64) -> bool {
         self.query_state != QueryState::InFlight && self.can_query(now_us) && self.cold.needs_report(now_us)
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Releases a slot that is reserved for a woken call.
-    pub(super) fn drop_reserved(&mut self) {
+    pub(super) fn release_reserved_slot(&mut self) {
         let reserved = self.running.iter().find(|(_, start)| **start == RESERVED).map(|(number, _)| *number);
         let number = reserved.expect("a woken call has a reserved slot");
         self.end(number, false);
@@ -172,7 +172,7 @@
     /// Decides on queued calls in order while slots are free: starts those that gain nothing by waiting and
     /// refuses those that were queued only for a report that speaks against them.
     pub(super) fn admit_waiting(&mut self, now_us: u64) {
-        if !self.has_slot() || self.is_report_needed(now_us) {
+        if !self.has_slot() || self.is_load_report_due(now_us) {
             return;
         }
         let decisions = self.queue.iter().map(|(key, request, is_accepted)| {
@@ -201,14 +201,14 @@
         let limit = u64::from(self.limit.limit().max(1));
         let free = limit.saturating_sub(self.running.len() as u64);
         let service_us = self.service_us(now_us);
-        let is_late = |(number, (key, request, _)): (usize, (&QueueKey, &AdmissionRequest, bool))| {
-            let next_send_us = self.cold.next_send_us(request.rank.is_nested(), number, now_us);
+        let is_late = |(position, (key, request, _)): (usize, (&QueueKey, &AdmissionRequest, bool))| {
+            let next_send_us = self.cold.next_send_us(request.rank.is_nested(), position, now_us);
             let is_cold_delayed = next_send_us > now_us;
-            let is_next = (number as u64) < free;
+            let is_next = (position as u64) < free;
             if is_next && !is_cold_delayed {
                 return None;
             }
-            let ahead = (number as u64).saturating_sub(free);
+            let ahead = (position as u64).saturating_sub(free);
             let slot_us = now_us + ahead * service_us / limit;
             let run_us = (self.class_run_us(request) * self.quick_factor(now_us)) as u64;
             let reason = match request.may_hand_back {
@@ -242,12 +242,14 @@
         if self.is_avoidably_slow(request, now_us) {
             return Some(RefusalReason::Slow);
         }
-        self.would_be_late(request, now_us).then_some(RefusalReason::Busy)
+        self.would_waste_slot(request, now_us).then_some(RefusalReason::Busy)
     }
 
     /// Returns whether a new call may start at once instead of being queued.
     pub(super) fn may_start(&self, request: &AdmissionRequest, now_us: u64) -> bool {
-        self.queue.is_empty() && self.has_room(request, now_us) && self.should_start(request, now_us)
+        self.queue.is_empty()
+            && self.has_slot_and_capacity(request, now_us)
+            && self.should_start(request, now_us)
     }
 
     /// Returns whether the call should try another target because this one is in a slow phase.
@@ -278,12 +280,14 @@
         SlotDemand { load, run_us: self.mean_run_us }
     }
 
+    /// Returns whether starting the call now is better than holding it.
     fn should_start(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         !self.limits.may_hold || self.forecast(request, now_us).decision == StartDecision::Start
     }
 
-    /// Returns whether the target has to be queried before the call gets a slot.
-    pub(super) fn needs_report(&self, request: &AdmissionRequest, now_us: u64) -> bool {
+    /// Returns whether a new load report, for which the call has to wait, may improve the decision about it
+    /// by more than the query costs.
+    pub(super) fn is_report_worth_it(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         if !self.can_query(now_us) {
             return false;
         }
@@ -299,12 +303,13 @@
             &self.demand(),
             has_choice,
         );
-        gain * self.startable() as f64 > QUERY_COST
+        gain * self.startable_calls() as f64 > QUERY_COST
     }
 
-    /// Returns whether the target has to be queried now.
-    pub(super) fn is_report_needed(&self, now_us: u64) -> bool {
-        self.has_slot() && self.queue.first().is_some_and(|request| self.needs_report(request, now_us))
+    /// Returns whether the target has to be queried about its load now, before the first queued call gets a
+    /// slot.
+    pub(super) fn is_load_report_due(&self, now_us: u64) -> bool {
+        self.has_slot() && self.queue.first().is_some_and(|request| self.is_report_worth_it(request, now_us))
     }
 
     fn can_query(&self, now_us: u64) -> bool {
@@ -315,8 +320,8 @@
         }
     }
 
-    /// Returns how many calls could start at once.
-    fn startable(&self) -> usize {
+    /// Returns how many queued calls, at least one, could get a free slot now.
+    fn startable_calls(&self) -> usize {
         let free = (self.limit.limit() as usize).saturating_sub(self.running.len());
         self.queue.len().clamp(1, free.max(1))
     }
@@ -345,7 +350,7 @@
     }
 
     /// Returns whether the call would occupy a slot that others need and still be answered too late.
-    fn would_be_late(&self, request: &AdmissionRequest, now_us: u64) -> bool {
+    fn would_waste_slot(&self, request: &AdmissionRequest, now_us: u64) -> bool {
         let useful_us = request.useful_until_us.saturating_sub(now_us) as f64;
         let done_us = self.forecast(request, now_us).done_us;
         done_us > useful_us && 2 * self.running.len() as u32 >= self.limit.limit()
@@ -398,9 +403,10 @@
         slot_wait_us.max(self.cold_wait_us(request, now_us))
     }
 
-    pub(super) fn note_run(&mut self, usual_us: f64) {
+    /// Adds a run time, converted to the target's normal speed, in µs, to the moving average.
+    pub(super) fn note_run(&mut self, normal_run_us: f64) {
         let weight = if self.has_measured { RUN_WEIGHT } else { 1.0 };
-        self.mean_run_us += weight * (usual_us - self.mean_run_us);
+        self.mean_run_us += weight * (normal_run_us - self.mean_run_us);
         self.has_measured = true;
     }
 
--- a/crates/laurelstall_guard/src/ledger.rs
+++ b/crates/laurelstall_guard/src/ledger.rs
@@ -7,7 +7,7 @@
 };
 use tokio::sync::watch;
 
-/// A stored answer, returned when the ticket is used again.
+/// An answer that is kept, and returned when the ticket is used again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeptAnswer {
     /// HTTP status.
@@ -20,12 +20,12 @@
 
 /// State of a ticket that was used.
 #[derive(Debug, Clone)]
-enum Entry {
+enum TicketState {
     /// The call runs or waits for a slot; the receiver changes when it ends. The number identifies the run.
     Running(watch::Receiver<bool>, u64),
-    /// The call was answered and the answer is stored.
+    /// The call was answered and the answer is kept.
     Answered(Arc<KeptAnswer>),
-    /// The call ran or may have run, and no answer is stored.
+    /// The call ran or may have run, and no answer is kept.
     OutcomeUnknown,
     /// The call was refused before it ran; the ticket is void and never runs.
     Void,
@@ -36,7 +36,7 @@
 pub enum TicketUse {
     /// First use: the call has to be run, and the token ended with one of the `end_*` methods.
     FirstUse(RunToken),
-    /// The call was answered before; this is the stored answer.
+    /// The call was answered before; this is the kept answer.
     Answered(Arc<KeptAnswer>),
     /// The call is running: wait until the receiver changes, then look the ticket up again.
     Running(watch::Receiver<bool>),
@@ -53,6 +53,7 @@
 #[derive(Debug)]
 pub struct RunToken {
     number: u64,
+    /// Number of this use; its end is recorded only while the ticket's state is still that of this use.
     run: u64,
     done: watch::Sender<bool>,
 }
@@ -72,15 +73,16 @@
 pub struct Ledger {
     incarnation: u64,
     batches: VecDeque<Batch>,
-    entries: HashMap<u64, Entry>,
+    states: HashMap<u64, TicketState>,
     next_number: u64,
     next_run: u64,
     tickets_max: usize,
+    /// Number of issued tickets that have not expired.
     open: usize,
     kept_bytes: usize,
 }
 
-/// Maximum size of all stored answers of one ledger, in bytes.
+/// Maximum size of the bodies of all kept answers of one ledger, in bytes.
 pub const KEPT_BYTES_MAX: usize = 16 * 1024 * 1024;
 /// Maximum number of tickets issued at once.
 pub const BATCH_MAX: u32 = 1_000;
@@ -91,7 +93,7 @@
         Self {
             incarnation,
             batches: VecDeque::new(),
-            entries: HashMap::new(),
+            states: HashMap::new(),
             next_number: 0,
             next_run: 0,
             tickets_max,
@@ -131,38 +133,38 @@
         if incarnation != self.incarnation || !is_known {
             return TicketUse::Invalid;
         }
-        match self.entries.get(&number) {
+        match self.states.get(&number) {
             None => TicketUse::FirstUse(self.start(number)),
-            Some(Entry::Running(done, _)) => TicketUse::Running(done.clone()),
-            Some(Entry::Answered(answer)) => TicketUse::Answered(answer.clone()),
-            Some(Entry::OutcomeUnknown) => TicketUse::OutcomeUnknown,
-            Some(Entry::Void) => TicketUse::Void,
+            Some(TicketState::Running(done, _)) => TicketUse::Running(done.clone()),
+            Some(TicketState::Answered(answer)) => TicketUse::Answered(answer.clone()),
+            Some(TicketState::OutcomeUnknown) => TicketUse::OutcomeUnknown,
+            Some(TicketState::Void) => TicketUse::Void,
         }
     }
 
-    /// Ends a run that was answered; stores the answer if one is passed and there is room for it.
+    /// Ends a run that was answered; keeps the answer if one is passed and there is room for it.
     pub fn end_answered(&mut self, token: RunToken, answer: Option<KeptAnswer>) {
         let kept = answer.filter(|answer| self.kept_bytes + answer.body.len() <= KEPT_BYTES_MAX);
-        let entry = match kept {
+        let state = match kept {
             Some(answer) => {
                 self.kept_bytes += answer.body.len();
-                Entry::Answered(Arc::new(answer))
+                TicketState::Answered(Arc::new(answer))
             }
-            None => Entry::OutcomeUnknown,
+            None => TicketState::OutcomeUnknown,
         };
-        self.end(token, entry);
+        self.end(token, state);
     }
 
     /// Ends a run with an unknown outcome.
     pub fn end_unknown(&mut self, token: RunToken) {
-        self.end(token, Entry::OutcomeUnknown);
+        self.end(token, TicketState::OutcomeUnknown);
     }
 
     /// Ends a run that was refused before any byte reached the target, and voids the ticket.
     ///
     /// The caller is answered *not run*, so a delayed copy of the same call must not run later.
     pub fn end_not_run(&mut self, token: RunToken) {
-        self.end(token, Entry::Void);
+        self.end(token, TicketState::Void);
     }
 
     /// Returns the number of issued tickets that have not expired.
@@ -179,17 +181,17 @@
         let (done, changed) = watch::channel(false);
         let run = self.next_run;
         self.next_run += 1;
-        self.entries.insert(number, Entry::Running(changed, run));
+        self.states.insert(number, TicketState::Running(changed, run));
         RunToken { number, run, done }
     }
 
-    fn end(&mut self, token: RunToken, entry: Entry) {
+    fn end(&mut self, token: RunToken, state: TicketState) {
         let is_own =
-            matches!(self.entries.get(&token.number), Some(Entry::Running(_, run)) if *run == token.run);
+            matches!(self.states.get(&token.number), Some(TicketState::Running(_, run)) if *run == token.run);
         // An expired ticket has no record and gets no new one.
         if is_own {
-            self.entries.insert(token.number, entry);
-        } else if let Entry::Answered(answer) = &entry {
+            self.states.insert(token.number, state);
+        } else if let TicketState::Answered(answer) = &state {
             self.kept_bytes -= answer.body.len();
         }
         token.done.send_replace(true);
@@ -200,7 +202,7 @@
             let Some(batch) = self.batches.pop_front() else { return };
             self.open -= (batch.end - batch.first) as usize;
             for number in batch.first..batch.end {
-                if let Some(Entry::Answered(answer)) = self.entries.remove(&number) {
+                if let Some(TicketState::Answered(answer)) = self.states.remove(&number) {
                     self.kept_bytes -= answer.body.len();
                 }
             }
--- a/crates/laurelstall_guard/src/refusal.rs
+++ b/crates/laurelstall_guard/src/refusal.rs
@@ -12,11 +12,12 @@
 pub enum RefusalReason {
     /// The target or its node is draining.
     Draining,
-    /// The queue is full.
+    /// The queue is full, the call lost its place in it to a more important one, or its time in the queue is
+    /// over.
     QueueFull,
     /// The call cannot be completed within its time budget.
     Deadline,
-    /// The call waited for about a service time, and another target may be faster.
+    /// The call is returned to its entry while it waits, because another target may be faster.
     HandedBack,
     /// The guard is not responsible for the target that was named; nothing was sent to any target.
     OtherTarget,
@@ -64,7 +65,7 @@
     GiveUp,
     /// Try another target, or the same one again, as often as the service's limit on hand-backs allows.
     HandBack,
-    /// Try another target. The call may return to this one, which must not refuse it for this reason then.
+    /// Try another target. If the call comes back to this one, the guard must not refuse it as slow again.
     SkipSlow,
     /// Try another target free of charge, because the request reached no target.
     RetryFree,
@@ -92,7 +93,8 @@
     Draining,
     /// It cannot be reached under this name for now.
     Unreachable,
-    /// The attempt failed, so that a target which refuses at once does not look idle.
+    /// The attempt counts as a failure of the target; otherwise one that refuses at once would look idle and
+    /// attract calls.
     Failing,
 }
 
--- a/crates/laurelstall_guard/src/start_decision.rs
+++ b/crates/laurelstall_guard/src/start_decision.rs
@@ -10,8 +10,8 @@
 
 /// Utility of an answer that comes late but before the deadline; an answer in time has 1.
 const LATE_UTILITY: f64 = 0.25;
-/// Relative spread of run times around their mean.
-const RUN_SPREAD: f64 = 0.2;
+/// Scale of the logistic distribution of run times, relative to the expected one.
+const RUN_TIME_SCALE: f64 = 0.2;
 /// Number of quantiles at which the remaining time of a slow phase is evaluated.
 const QUANTILES: usize = 8;
 
@@ -140,5 +140,5 @@
     if limit_us <= 0.0 {
         return 0.0;
     }
-    1.0 / (1.0 + ((done_us / limit_us - 1.0) / RUN_SPREAD).exp())
+    1.0 / (1.0 + ((done_us / limit_us - 1.0) / RUN_TIME_SCALE).exp())
 }
--- a/crates/laurelstall_guard/src/target_identity.rs
+++ b/crates/laurelstall_guard/src/target_identity.rs
@@ -1,9 +1,11 @@
 //! Identity of the target instance at a guard.
 //!
-//! The published list names an instance but may be out of date: while the platform is unreachable, a host may
-//! restart with a new instance of its target that no list names yet. A request sent under the wrong name is
-//! denied by the instance and lost. So the guard uses the listed name until the instance itself reports or
-//! shows another one.
+//! An instance is one start of the target's process; the platform normally gives each its own name. The
+//! published list names an instance but may be out of date: while the platform is unreachable, a host may
+//! restart with a new instance of its target that no list names yet, the successor. A request sent under the
+//! wrong name is denied by the instance and lost; the guard reports the denial to the entry as
+//! [`RefusalReason::Replaced`](crate::refusal::RefusalReason::Replaced). So the guard uses the listed name
+//! until the instance itself reports or shows another one.
 
 use std::mem;
 
@@ -35,8 +37,8 @@
 /// another one.
 #[derive(Debug, Clone, Copy)]
 struct Doubt {
-    /// Whether the current name was denied. A name that an instance reports at its load path may be wrong and
-    /// does not block calls by itself.
+    /// Whether the instance denied a request sent under its current name. A differing name in a load report
+    /// alone does not block calls, because it may be wrong.
     is_denied: bool,
     /// Number of denials in a row.
     denials: u32,
@@ -55,9 +57,9 @@
 /// What a guard knows about the name of its target instance.
 #[derive(Debug)]
 pub struct TargetIdentity {
-    /// Time until which the first name that the instance reports is taken for the name of the target, in µs
-    /// of the guard's clock.
-    first_report_until_us: u64,
+    /// Time until which the address is not reused for another service, so that the first name that the
+    /// instance reports is taken for the name of the target, in µs of the guard's clock.
+    address_reserved_until_us: u64,
     /// Name in the published list.
     listed: String,
     /// First name that the instance reported, if it differs from the listed one.
@@ -75,12 +77,12 @@
 impl TargetIdentity {
     /// Creates an identity without a name.
     ///
-    /// Until `first_report_until_us`, any instance at the address belongs to the target's service: the node's
-    /// settings are made for its start, and an address is not reused for another service so soon. Later only
-    /// the list shows to which service an instance belongs.
-    pub fn new(first_report_until_us: u64) -> Self {
+    /// Until `address_reserved_until_us`, any instance at the address belongs to the target's service: the
+    /// node's settings are made for its start, and an address is not reused for another service so soon.
+    /// Later only the list shows to which service an instance belongs.
+    pub fn new(address_reserved_until_us: u64) -> Self {
         Self {
-            first_report_until_us,
+            address_reserved_until_us,
             listed: String::new(),
             successor: None,
             has_reported: false,
@@ -99,8 +101,8 @@
         self.forget_report();
     }
 
-    /// Discards what the instance reported and showed, because another instance was started under the same
-    /// name.
+    /// Addresses the instance by its listed name again and discards any doubt about it, because another
+    /// instance was started under the same name.
     pub fn forget_report(&mut self) {
         self.successor = None;
         self.is_report_wrong = false;
@@ -129,7 +131,8 @@
         if let Some(wait_us) = self.refused_for_us(now_us) {
             return SendDecision::Refuse { wait_us };
         }
-        let is_first = !self.has_reported && !self.listed.is_empty() && now_us < self.first_report_until_us;
+        let is_first =
+            !self.has_reported && !self.listed.is_empty() && now_us < self.address_reserved_until_us;
         let needs_first_report = is_first && now_us >= self.no_query_until_us;
         if can_query && (needs_first_report || self.doubt.is_some()) {
             return SendDecision::QueryFirst;
@@ -141,7 +144,7 @@
     pub fn note_reported_name(&mut self, name: Option<&str>, now_us: u64) {
         let is_first = !mem::replace(&mut self.has_reported, true);
         let Some(name) = name else { return };
-        if is_first && now_us < self.first_report_until_us && !self.is_addressed_as(name) {
+        if is_first && now_us < self.address_reserved_until_us && !self.is_addressed_as(name) {
             self.successor = Some(name.to_owned());
         }
         if self.name() == name || self.is_report_wrong || self.refused_for_us(now_us).is_some() {
@@ -149,7 +152,7 @@
         }
         match self.doubt {
             None => self.doubt = Some(Doubt::new(false, now_us)),
-            Some(doubt) if doubt.is_denied => self.note_mismatch(now_us),
+            Some(doubt) if doubt.is_denied => self.block_calls(now_us),
             Some(_) => {}
         }
     }
@@ -182,7 +185,7 @@
             None => self.doubt = Some(Doubt::new(true, now_us)),
             Some(doubt) if doubt.is_probing => {
                 doubt.is_denied = true;
-                self.note_mismatch(now_us);
+                self.block_calls(now_us);
             }
             Some(doubt) => doubt.is_denied = true,
         }
@@ -212,7 +215,7 @@
     }
 
     /// Blocks calls for a while because the instance is not the one in the list.
-    fn note_mismatch(&mut self, now_us: u64) {
+    fn block_calls(&mut self, now_us: u64) {
         let Some(doubt) = &mut self.doubt else { return };
         doubt.until_us = now_us + pause_us(doubt.denials);
         doubt.denials = doubt.denials.saturating_add(1);
--- a/crates/laurelstall_guard/src/target_speed.rs
+++ b/crates/laurelstall_guard/src/target_speed.rs
@@ -1,4 +1,7 @@
 //! Speed of a target: its last report, and a forecast of its speed after that.
+//!
+//! Slowness is how long work takes, in percent. Normal is the target's speed when it reports 100 %; quick is
+//! its best recent speed; in a slow phase work takes at least 1.5 times as long as at the quick speed.
 
 use crate::phase_times::PhaseTimes;
 use laurelstall_balance::hint::NORMAL_PERCENT;
@@ -9,10 +12,10 @@
 /// Reports are clamped to this range, in percent.
 const ACCEPTED_PERCENT: RangeInclusive<u32> = 20..=10_000;
 /// A target is in a slow phase from this multiple of its lowest recent slowness.
-const SLOW_FACTOR: f64 = 1.5;
+const SLOW_PHASE_FACTOR: f64 = 1.5;
 /// Length of the window of the lowest slowness, in µs; two windows are remembered. Slowness that lasts
-/// longer, such as a cold start or a slow host, becomes the target's normal speed.
-const BEST_WINDOW_US: u64 = 1_000_000;
+/// longer, such as a cold start or a slow host, becomes the target's quick speed.
+const LOWEST_WINDOW_US: u64 = 1_000_000;
 /// A slow phase longer than this multiple of the mean is expected to last as long again as it has lasted.
 const LONG_PHASE_FACTOR: f64 = 3.0;
 /// Slowness of slow phases relative to quick ones, assumed before the first slow phase.
@@ -27,17 +30,17 @@
     at_us: u64,
 }
 
-/// Lowest slowness reported in the current and in the previous window of [`BEST_WINDOW_US`].
+/// Lowest slowness reported in the current and in the previous window of [`LOWEST_WINDOW_US`].
 #[derive(Debug, Clone, Copy, Default)]
-struct BestSpeed {
+struct LowestSlowness {
     current_percent: Option<u32>,
     previous_percent: Option<u32>,
     since_us: u64,
 }
 
-impl BestSpeed {
+impl LowestSlowness {
     fn note(&mut self, slowness_percent: u32, now_us: u64) {
-        if now_us.saturating_sub(self.since_us) > BEST_WINDOW_US {
+        if now_us.saturating_sub(self.since_us) > LOWEST_WINDOW_US {
             self.previous_percent = self.current_percent.take();
             self.since_us = now_us;
         }
@@ -67,7 +70,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TargetSpeed {
     report: Option<Report>,
-    best: BestSpeed,
+    lowest: LowestSlowness,
     phases: PhaseTimes,
     /// Start of the phase of the last report, in µs.
     phase_since_us: u64,
@@ -80,7 +83,7 @@
     pub fn note(&mut self, slowness_percent: u32, now_us: u64) {
         let accepted = slowness_percent.clamp(*ACCEPTED_PERCENT.start(), *ACCEPTED_PERCENT.end());
         let was_slow = self.report.map(|report| self.is_slow(report.slowness_percent));
-        self.best.note(accepted, now_us);
+        self.lowest.note(accepted, now_us);
         let is_slow = self.is_slow(accepted);
         if let (Some(report), Some(was_slow)) = (self.report, was_slow) {
             self.phases.note(was_slow, is_slow, now_us.saturating_sub(report.at_us));
@@ -89,7 +92,7 @@
             self.phase_since_us = now_us;
         }
         if is_slow {
-            self.note_slow_ratio(f64::from(accepted) / self.best_percent());
+            self.note_slow_ratio(f64::from(accepted) / self.lowest_percent());
         }
         self.report = Some(Report { slowness_percent: accepted, at_us: now_us });
     }
@@ -103,7 +106,7 @@
     /// Returns how long work takes outside of slow phases, in percent of normal.
     pub fn quick_percent(&self, now_us: u64) -> u32 {
         let is_known = self.age_us(now_us).is_some_and(|age_us| age_us <= REPORT_AGE_MAX_US);
-        if is_known { self.best_percent() as u32 } else { NORMAL_PERCENT }
+        if is_known { self.lowest_percent() as u32 } else { NORMAL_PERCENT }
     }
 
     /// Returns the age of the last report in µs; `None` when there was none.
@@ -125,8 +128,8 @@
         };
         let age_us = now_us.saturating_sub(report.at_us);
         let is_slow = self.is_slow(report.slowness_percent);
-        let current_ratio = f64::from(report.slowness_percent) / self.best_percent();
-        let quick_factor = self.best_percent() / f64::from(NORMAL_PERCENT);
+        let current_ratio = f64::from(report.slowness_percent) / self.lowest_percent();
+        let quick_factor = self.lowest_percent() / f64::from(NORMAL_PERCENT);
         SpeedForecast {
             quick_factor,
             slow_ratio: if is_slow { current_ratio } else { mean_ratio },
@@ -158,11 +161,11 @@
     }
 
     fn is_slow(&self, slowness_percent: u32) -> bool {
-        f64::from(slowness_percent) >= SLOW_FACTOR * self.best_percent()
+        f64::from(slowness_percent) >= SLOW_PHASE_FACTOR * self.lowest_percent()
     }
 
-    fn best_percent(&self) -> f64 {
-        f64::from(self.best.percent().unwrap_or(NORMAL_PERCENT))
+    fn lowest_percent(&self) -> f64 {
+        f64::from(self.lowest.percent().unwrap_or(NORMAL_PERCENT))
     }
 
     fn note_slow_ratio(&mut self, ratio: f64) {
--- a/crates/laurelstall_guard/src/wait_queue.rs
+++ b/crates/laurelstall_guard/src/wait_queue.rs
@@ -13,7 +13,7 @@
 pub struct QueueKey {
     importance: Reverse<u8>,
     is_over_share: bool,
-    is_retry: bool,
+    is_caller_retry: bool,
     deadline_us: u64,
     number: u64,
 }
@@ -23,7 +23,7 @@
         Self {
             importance: Reverse(rank.importance),
             is_over_share: rank.is_over_share,
-            is_retry: rank.is_retry,
+            is_caller_retry: rank.is_caller_retry,
             deadline_us,
             number,
         }
@@ -105,8 +105,8 @@
     /// Removes the call with the lowest priority if that is below `rank`; returns whether a call was removed.
     pub fn evict_below(&mut self, rank: Rank) -> bool {
         let Some((last, _)) = self.waiting.last_key_value() else { return false };
-        let least = (last.importance, last.is_over_share, last.is_retry);
-        let is_lower = least > (Reverse(rank.importance), rank.is_over_share, rank.is_retry);
+        let least = (last.importance, last.is_over_share, last.is_caller_retry);
+        let is_lower = least > (Reverse(rank.importance), rank.is_over_share, rank.is_caller_retry);
         if is_lower {
             self.waiting.pop_last();
         }
--- a/crates/laurelstall_guard/src/workspace_loads.rs
+++ b/crates/laurelstall_guard/src/workspace_loads.rs
@@ -24,7 +24,7 @@
 
 impl WorkspaceLoads {
     /// Counts a call until the result is dropped.
-    pub fn enter(self: &Arc<Self>, workspace_share: WorkspaceShare) -> CountedCall {
+    pub fn count_call(self: &Arc<Self>, workspace_share: WorkspaceShare) -> CountedCall {
         let mut loads = self.lock();
         let load = loads.entry(workspace_share.id).or_insert(Load { calls: 0, weight: 1 });
         load.calls += 1;
@@ -43,7 +43,7 @@
         workspace.calls > share + CALLS_ABOVE_SHARE
     }
 
-    fn leave(&self, id: u64) {
+    fn uncount_call(&self, id: u64) {
         let mut loads = self.lock();
         let Some(load) = loads.get_mut(&id) else { return };
         load.calls -= 1;
@@ -66,6 +66,6 @@
 
 impl Drop for CountedCall {
     fn drop(&mut self) {
-        self.loads.leave(self.id);
+        self.loads.uncount_call(self.id);
     }
 }
