--- a/crates/laurelstall_standin/src/threads.rs
+++ b/crates/laurelstall_standin/src/threads.rs
@@ -1,4 +1,4 @@
-//! Threads with a runtime of their own each.
+//! Threads that each run their own Tokio runtime.
 
 use std::{sync::mpsc, thread};
 use tokio::{
@@ -6,7 +6,7 @@
     sync::oneshot,
 };
 
-/// A thread that runs a runtime until it is dropped.
+/// A thread with a single-threaded Tokio runtime, which stops when this value is dropped.
 #[derive(Debug)]
 pub struct RuntimeThread {
     handle: Handle,
@@ -19,34 +19,34 @@
     ///
     /// # Panics
     ///
-    /// When the system has no room for one more thread.
+    /// Panics if the operating system cannot create the runtime or the thread.
     pub fn start(name: &str) -> Self {
-        let runtime = Builder::new_current_thread().enable_all().build().expect("room for a runtime");
+        let runtime = Builder::new_current_thread().enable_all().build().expect("the runtime can be created");
         let handle = runtime.handle().clone();
         let (stop, stopped) = oneshot::channel();
         let builder = thread::Builder::new().name(name.to_owned());
         let thread = builder.spawn(move || {
-            // Ends as well when the sender is dropped.
+            // Also returns, with an error, when the sender is dropped.
             let _ = runtime.block_on(stopped);
             runtime.shutdown_background();
         });
-        Self { handle, stop: Some(stop), thread: Some(thread.expect("room for a thread")) }
+        Self { handle, stop: Some(stop), thread: Some(thread.expect("the thread can be created")) }
     }
 
-    /// Where tasks for this thread are spawned.
+    /// Returns the handle that spawns tasks on this thread.
     pub fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// Runs a task on this thread and waits for it on the caller's, outside any runtime.
+    /// Runs a task on this thread and blocks the calling thread, which must be outside any runtime, until it ends.
     ///
     /// # Panics
     ///
-    /// When the task does.
+    /// Panics if the task panics.
     pub fn block_on<T: Send + 'static>(&self, task: impl Future<Output = T> + Send + 'static) -> T {
-        let (tell, told) = mpsc::channel();
-        self.handle.spawn(async move { tell.send(task.await) });
-        told.recv().expect("the task runs to its end")
+        let (sender, receiver) = mpsc::channel();
+        self.handle.spawn(async move { sender.send(task.await) });
+        receiver.recv().expect("the task does not panic")
     }
 }
 
--- a/crates/laurelstall_standin/tests/administration.rs
+++ b/crates/laurelstall_standin/tests/administration.rs
@@ -1,4 +1,4 @@
-//! The administration API.
+//! Tests of the administration API on a running deployment.
 
 mod support;
 
@@ -7,11 +7,11 @@
 use laurelstall_config::settings::{Role, TokenSettings};
 use laurelstall_crash::{crash_table::Verdict, request_digest::RequestDigest};
 use serde_json::Value;
-use support::{Answer, ask, entry, plan, start};
+use support::{Answer, entry, plan, send_request, start};
 
 const READ: &str = "Bearer read-secret-0123456789";
 const OPERATE: &str = "Bearer operate-secret-0123456789";
-const STRANGE: &str = "Bearer other-team-secret-0123456789";
+const OTHER_TEAM: &str = "Bearer other-team-secret-0123456789";
 
 fn tokens() -> Vec<TokenSettings> {
     let token = |team: &str, role, bearer: &str| TokenSettings {
@@ -22,7 +22,7 @@
     vec![
         token("", Role::Read, READ),
         token("standin", Role::Operate, OPERATE),
-        token("other", Role::Operate, STRANGE),
+        token("other", Role::Operate, OTHER_TEAM),
     ]
 }
 
@@ -31,29 +31,33 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn everything_can_be_seen_and_nothing_switched_without_a_token_on_loopback() {
+async fn loopback_without_tokens_allows_reads_and_forbids_changes() {
     let harness = start(plan(2)).await;
-    let answer = ask(entry(&harness, 0), Method::GET, "/market-board/x", &[], Bytes::new()).await;
+    let answer = send_request(entry(&harness, 0), Method::GET, "/market-board/x", &[], Bytes::new()).await;
     assert_eq!(answer.expect("an answer").status, StatusCode::OK);
     let admin = harness.nodes()[0].1.admin_address;
     for path in ["health", "ready", "status", "targets", "members", "config", "decisions", "held"] {
-        let answer =
-            ask(admin, Method::GET, &format!("/v1/{path}"), &[], Bytes::new()).await.expect("an answer");
+        let answer = send_request(admin, Method::GET, &format!("/v1/{path}"), &[], Bytes::new())
+            .await
+            .expect("an answer");
         assert_eq!(answer.status, StatusCode::OK, "{path}");
         json(&answer);
     }
-    let targets = json(&ask(admin, Method::GET, "/v1/targets", &[], Bytes::new()).await.expect("an answer"));
+    let targets =
+        json(&send_request(admin, Method::GET, "/v1/targets", &[], Bytes::new()).await.expect("an answer"));
     assert_eq!(targets.as_array().map(Vec::len), Some(2));
-    let config = json(&ask(admin, Method::GET, "/v1/config", &[], Bytes::new()).await.expect("an answer"));
+    let config =
+        json(&send_request(admin, Method::GET, "/v1/config", &[], Bytes::new()).await.expect("an answer"));
     assert_eq!((&config["platform_era"], &config["platform_returns"]), (&0.into(), &0.into()));
-    let status = json(&ask(admin, Method::GET, "/v1/status", &[], Bytes::new()).await.expect("an answer"));
+    let status =
+        json(&send_request(admin, Method::GET, "/v1/status", &[], Bytes::new()).await.expect("an answer"));
     assert_eq!(status["counters"]["calls"], 1);
-    let drained = ask(admin, Method::POST, "/v1/drain", &[], Bytes::new()).await.expect("an answer");
+    let drained = send_request(admin, Method::POST, "/v1/drain", &[], Bytes::new()).await.expect("an answer");
     assert_eq!(drained.status, StatusCode::FORBIDDEN);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn tokens_decide_who_sees_and_switches_what() {
+async fn tokens_restrict_reads_and_changes() {
     let mut plan = plan(2);
     plan.tokens = tokens();
     let harness = start(plan).await;
@@ -61,25 +65,27 @@
     let status = async |method: Method, path: &str, token: &str| {
         let headers = [("authorization", token)];
         let headers = if token.is_empty() { &headers[..0] } else { &headers[..] };
-        ask(admin, method, path, headers, Bytes::new()).await.expect("an answer").status
+        send_request(admin, method, path, headers, Bytes::new()).await.expect("an answer").status
     };
     assert_eq!(status(Method::GET, "/v1/ready", "").await, StatusCode::OK);
     assert_eq!(status(Method::GET, "/v1/status", "").await, StatusCode::UNAUTHORIZED);
     assert_eq!(status(Method::GET, "/v1/status", "Bearer wrong").await, StatusCode::UNAUTHORIZED);
     assert_eq!(status(Method::GET, "/v1/status", READ).await, StatusCode::OK);
     assert_eq!(status(Method::POST, "/v1/drain", READ).await, StatusCode::FORBIDDEN);
-    assert_eq!(status(Method::POST, "/v1/drain", STRANGE).await, StatusCode::FORBIDDEN);
+    assert_eq!(status(Method::POST, "/v1/drain", OTHER_TEAM).await, StatusCode::FORBIDDEN);
     assert_eq!(status(Method::POST, "/v1/drain", OPERATE).await, StatusCode::OK);
     assert!(harness.nodes()[0].1.guard.guard().is_draining());
     for number in 0..2 {
-        let answer = ask(entry(&harness, number), Method::GET, "/market-board/x", &[], Bytes::new()).await;
+        let answer =
+            send_request(entry(&harness, number), Method::GET, "/market-board/x", &[], Bytes::new()).await;
         assert_eq!(answer.expect("an answer").status, StatusCode::OK);
     }
-    assert_eq!(harness.targets.get("market-board-1").expect("it runs").seen(), 0);
+    assert_eq!(harness.targets.get("market-board-1").expect("it runs").requests_received(), 0);
     assert_eq!(status(Method::POST, "/v1/undrain", OPERATE).await, StatusCode::OK);
     assert!(!harness.nodes()[0].1.guard.guard().is_draining());
-    let headers = [("authorization", STRANGE)];
-    let targets = ask(admin, Method::GET, "/v1/targets", &headers, Bytes::new()).await.expect("an answer");
+    let headers = [("authorization", OTHER_TEAM)];
+    let targets =
+        send_request(admin, Method::GET, "/v1/targets", &headers, Bytes::new()).await.expect("an answer");
     assert_eq!(json(&targets).as_array().map(Vec::len), Some(0));
 }
 
@@ -89,18 +95,19 @@
     let admin = harness.nodes()[0].1.admin_address;
     let check = async |text: &str| {
         let body = serde_json::json!({ "key": "system", "text": text }).to_string();
-        json(&ask(admin, Method::POST, "/v1/check", &[], body.into()).await.expect("an answer"))
+        json(&send_request(admin, Method::POST, "/v1/check", &[], body.into()).await.expect("an answer"))
     };
     assert_eq!(check("").await["is_right"], true);
     let wrong = check("[spread]\npartners = 99\nexchange_interval_ms = 1\n").await;
     assert_eq!(wrong["problems"].as_array().map(Vec::len), Some(2));
-    let answer =
-        ask(admin, Method::POST, "/v1/check", &[], Bytes::from_static(b"{")).await.expect("an answer");
+    let answer = send_request(admin, Method::POST, "/v1/check", &[], Bytes::from_static(b"{"))
+        .await
+        .expect("an answer");
     assert_eq!(answer.status, StatusCode::BAD_REQUEST);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_that_is_held_back_is_shown_and_let_go_at_all_nodes() {
+async fn a_quarantined_request_is_listed_and_released_on_all_nodes() {
     let mut plan = plan(2);
     plan.tokens = tokens();
     let harness = start(plan).await;
@@ -112,20 +119,23 @@
     let admin = harness.nodes()[0].1.admin_address;
     let held = async |token: &str| {
         let headers = [("authorization", token)];
-        json(&ask(admin, Method::GET, "/v1/held", &headers, Bytes::new()).await.expect("an answer"))
+        json(&send_request(admin, Method::GET, "/v1/held", &headers, Bytes::new()).await.expect("an answer"))
     };
     let rows = held(READ).await;
     assert_eq!(rows[0]["digest"], "00000000000000ab");
     assert_eq!(rows[0]["state"], "held");
     assert_eq!(rows[0]["ends"], 2);
-    assert_eq!(held(STRANGE).await.as_array().map(Vec::len), Some(0));
+    assert_eq!(held(OTHER_TEAM).await.as_array().map(Vec::len), Some(0));
     let release = async |token: &str, digest: &str| {
         let body = serde_json::json!({ "digest": digest }).to_string();
         let headers = [("authorization", token)];
-        ask(admin, Method::POST, "/v1/release", &headers, body.into()).await.expect("an answer").status
+        send_request(admin, Method::POST, "/v1/release", &headers, body.into())
+            .await
+            .expect("an answer")
+            .status
     };
     assert_eq!(release(READ, "00000000000000ab").await, StatusCode::FORBIDDEN);
-    assert_eq!(release(STRANGE, "00000000000000ab").await, StatusCode::NOT_FOUND);
+    assert_eq!(release(OTHER_TEAM, "00000000000000ab").await, StatusCode::NOT_FOUND);
     assert_eq!(release(OPERATE, "ab").await, StatusCode::NOT_FOUND);
     assert_eq!(release(OPERATE, "00000000000000ab").await, StatusCode::OK);
     for node in 0..2 {
--- a/crates/laurelstall_standin/tests/large_bodies.rs
+++ b/crates/laurelstall_standin/tests/large_bodies.rs
@@ -1,4 +1,4 @@
-//! 100 MB both ways, whole, with memory that does not grow with the body.
+//! Streams bodies of 100 MB in both directions; memory must not grow with the size of the body.
 
 mod support;
 
@@ -16,7 +16,7 @@
 
 const BODY_BYTES: u64 = 100_000_000;
 const CHUNK_BYTES: usize = 50_000;
-/// What the process may grow by while 100 MB pass through caller, two nodes and target.
+/// Largest memory growth while 100 MB pass through the caller, two nodes and the target.
 const MEMORY_GROWTH_MAX: u64 = 40_000_000;
 
 fn chunk(number: u64) -> Bytes {
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_hundred_megabytes_come_back_whole_in_bounded_memory() {
+async fn a_hundred_megabytes_are_echoed_in_bounded_memory() {
     let harness = start(plan(2)).await;
     let client: Client<HttpConnector, _> = Client::builder(TokioExecutor::new()).build_http();
     for number in 0..2 {
@@ -38,19 +38,19 @@
             .header("standin-key", "large")
             .header("laurelstall-budget-ms", "60000")
             .body(body)
-            .expect("the request is right");
+            .expect("the request is valid");
         let response = client.request(request).await.expect("an answer");
         assert_eq!(response.status(), 200);
         let mut answer = response.into_body();
-        let (mut read, mut most) = (0_u64, 0);
+        let (mut read, mut peak_growth) = (0_u64, 0);
         while let Some(frame) = answer.frame().await {
-            let data = frame.expect("it does not break off").into_data().unwrap_or_default();
+            let data = frame.expect("the body is complete").into_data().unwrap_or_default();
             let is_right = data.iter().zip(read..).all(|(byte, at)| *byte == (at % 241) as u8);
             assert!(is_right, "wrong byte after {read}");
             read += data.len() as u64;
-            most = most.max(memory_bytes().saturating_sub(before));
+            peak_growth = peak_growth.max(memory_bytes().saturating_sub(before));
         }
         assert_eq!(read, BODY_BYTES);
-        assert!(most < MEMORY_GROWTH_MAX, "grew by {most} bytes");
+        assert!(peak_growth < MEMORY_GROWTH_MAX, "memory grew by {peak_growth} bytes");
     }
 }
--- a/crates/laurelstall_standin/tests/observing.rs
+++ b/crates/laurelstall_standin/tests/observing.rs
@@ -1,4 +1,4 @@
-//! What observing costs on real connections, against what the budget is charged.
+//! Compares the actual cost of observation on real connections with the charge to its budget.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::{plan, start};
 
 const PROBES: u64 = 200;
-/// IP and TCP header of a packet, with the usual options.
+/// Size of a packet's IP and TCP headers with common options.
 const PACKET_HEADER_BYTES: u64 = 52;
 
 fn bytes(meter: &Meter) -> u64 {
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_probe_costs_no_more_than_it_is_charged() {
+async fn a_probe_costs_at_most_its_charge() {
     let mut plan = plan(2);
     plan.observe.bytes_per_s = 10_000_000;
     plan.observe.probes_per_s = 10_000;
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_a_budget_nothing_is_spent_and_calls_are_answered() {
+async fn without_a_budget_no_bytes_are_spent_and_calls_are_answered() {
     let mut plan = plan(2);
     plan.observe.bytes_per_s = 0;
     plan.observe.probes_per_s = 0;
@@ -49,7 +49,8 @@
     for call in 0..50 {
         let entry = support::entry(&harness, call % 2);
         let answer =
-            support::ask(entry, http::Method::GET, "/market-board/x", &[], bytes::Bytes::new()).await;
+            support::send_request(entry, http::Method::GET, "/market-board/x", &[], bytes::Bytes::new())
+                .await;
         assert_eq!(answer.expect("an answer").status, 200);
     }
     for (name, node) in harness.nodes() {
--- a/crates/laurelstall_standin/tests/scenarios.rs
+++ b/crates/laurelstall_standin/tests/scenarios.rs
@@ -1,7 +1,7 @@
-//! The scenario files, and a short run of everything at once.
+//! Validates the scenario files and runs a short scenario with all kinds of faults.
 
 use laurelstall_standin::{
-    experiment::{Balancer, Tuning, run},
+    experiment::{Balancer, RunOptions, run},
     scenario::Scenario,
     threads::RuntimeThread,
 };
@@ -13,15 +13,15 @@
 
 fn read(name: &str) -> Scenario {
     let file = folder().join(name);
-    let text = fs::read_to_string(&file).expect("the file is there");
-    Scenario::from_text(name, &text).expect("the file is right")
+    let text = fs::read_to_string(&file).expect("the file exists");
+    Scenario::from_text(name, &text).expect("the file is valid")
 }
 
 #[test]
-fn all_scenario_files_are_right_and_named_as_their_file() {
+fn all_scenario_files_are_valid_and_named_after_their_file() {
     let mut names = Vec::new();
-    for entry in fs::read_dir(folder()).expect("the folder is there").flatten() {
-        let name = entry.file_name().into_string().expect("a plain name");
+    for entry in fs::read_dir(folder()).expect("the folder exists").flatten() {
+        let name = entry.file_name().into_string().expect("file names are UTF-8");
         assert_eq!(format!("{}.toml", read(&name).name), name);
         names.push(name);
     }
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn faults_of_all_kinds_together_break_no_promise() {
+fn faults_of_all_kinds_together_violate_no_guarantee() {
     let mut scenario = read("everything.toml");
-    // The same faults at a fifth of their times and at a load that a busy machine carries.
+    // Runs the faults at a fifth of their times, with a load that a busy machine can serve.
     scenario.seconds = 4;
     scenario.load_percent = 4;
     scenario.phases.clear();
@@ -57,7 +57,7 @@
     }
     let thread = RuntimeThread::start("callers");
     let result =
-        thread.block_on(async move { run(&scenario, Balancer::Laurelstall, Tuning::default(), 3).await });
+        thread.block_on(async move { run(&scenario, Balancer::Laurelstall, RunOptions::default(), 3).await });
     let result = result.expect("the deployment starts");
     let totals = &result.totals;
     assert!(totals.calls > 100 && totals.answered > 0, "{totals:?}");
--- a/crates/laurelstall_standin/tests/support/mod.rs
+++ b/crates/laurelstall_standin/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of the whole path share.
+//! Helpers that the integration tests share.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, StatusCode};
@@ -13,7 +13,7 @@
 use laurelstall_standin::{call_uri::CALLER_HOST, harness::Harness, harness_plan::HarnessPlan};
 use std::net::SocketAddr;
 
-/// A deployment of one service with `targets` targets that work for about a ms.
+/// Returns a deployment of one service with `targets` targets and a mean service time of 1 ms.
 pub fn plan(targets: usize) -> HarnessPlan {
     let mut plan = HarnessPlan::deployment("faltgard", 1, 1.0).expect("the deployment is known");
     plan.services[0].targets = targets;
@@ -21,12 +21,12 @@
     plan
 }
 
-/// Starts a deployment.
+/// Starts a deployment on the loopback interface.
 pub async fn start(plan: HarnessPlan) -> Harness {
-    Harness::start(plan).await.expect("loopback has room")
+    Harness::start(plan).await.expect("the deployment starts")
 }
 
-/// An answer, read to its end.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -40,8 +40,8 @@
     }
 }
 
-/// Asks an entry, with headers; none when the answer broke off.
-pub async fn ask(
+/// Sends a request with these headers to an entry node; returns `None` if the answer is incomplete.
+pub async fn send_request(
     entry: SocketAddr,
     method: Method,
     path: &str,
@@ -54,14 +54,14 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let request = request.body(Full::new(body)).expect("the request is right");
+    let request = request.body(Full::new(body)).expect("the request is valid");
     let response = client.request(request).await.ok()?;
     let (parts, body) = response.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
     Some(Answer { status: parts.status, headers: parts.headers, body })
 }
 
-/// The entry of the deployment's host with this number, from 0.
+/// Returns the entry address of the node with this number, counted from 0.
 pub fn entry(harness: &Harness, number: usize) -> SocketAddr {
     harness.nodes()[number].1.entry_address
 }
--- a/crates/laurelstall_standin/tests/whole_path.rs
+++ b/crates/laurelstall_standin/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Calls through real nodes to stand-in targets over loopback.
+//! End-to-end calls through real nodes to stand-in targets over the loopback interface.
 
 mod support;
 
@@ -12,21 +12,27 @@
     harness::{Harness, TEAM},
     node_thread::NodeThread,
 };
-use support::{ask, entry, plan, start};
+use support::{entry, plan, send_request, start};
 use tokio::time::{Duration, sleep, timeout};
 
-/// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an expected event.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bodies_of_all_small_sizes_come_back_intact() {
+async fn small_bodies_of_all_sizes_are_echoed_intact() {
     let harness = start(plan(3)).await;
     for bytes in [0, 1, 65_536, 65_537, 300_000] {
         let body = Bytes::from((0..bytes).map(|n| (n % 249) as u8).collect::<Vec<_>>());
         for number in 0..3 {
             let path = "/market-board/x";
-            let answer =
-                ask(entry(&harness, number), Method::POST, path, &[("standin-key", "k")], body.clone()).await;
+            let answer = send_request(
+                entry(&harness, number),
+                Method::POST,
+                path,
+                &[("standin-key", "k")],
+                body.clone(),
+            )
+            .await;
             let answer = answer.expect("an answer");
             assert_eq!((answer.status, answer.header("laurelstall-outcome")), (StatusCode::OK, "answered"));
             assert_eq!(answer.body, body);
@@ -41,7 +47,7 @@
     let at = entry(&harness, 0);
     for call in 0..400 {
         let method = if call % 2 == 0 { Method::GET } else { Method::POST };
-        let answer = ask(at, method, "/market-board/x", &[("standin-key", "k")], Bytes::new()).await;
+        let answer = send_request(at, method, "/market-board/x", &[("standin-key", "k")], Bytes::new()).await;
         let answer = answer.expect("an answer");
         assert_eq!(
             (answer.status, answer.header("laurelstall-outcome")),
@@ -52,42 +58,49 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_answer_that_is_cut_short_never_looks_whole() {
+async fn a_truncated_answer_never_looks_complete() {
     let harness = start(plan(2)).await;
     for target in harness.targets.all() {
-        target.change(|behaviour| behaviour.is_cutting_answers = true);
+        target.update_behaviour(|behaviour| behaviour.is_cutting_answers = true);
     }
     for number in 0..2 {
         let headers = [("standin-answer-bytes", "200000"), ("standin-key", "k")];
         let answer =
-            ask(entry(&harness, number), Method::GET, "/market-board/x", &headers, Bytes::new()).await;
-        // Broken off, or found out before its head went on: then it is *unknown*.
+            send_request(entry(&harness, number), Method::GET, "/market-board/x", &headers, Bytes::new())
+                .await;
+        // Either the body is aborted, or the node notices before it forwards the head and answers *unknown*.
         assert!(answer.is_none_or(|answer| answer.header("laurelstall-outcome") == "unknown"));
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_shed_call_goes_elsewhere_and_runs_once() {
+async fn a_shed_call_is_retried_on_another_target_and_runs_once() {
     let harness = start(plan(2)).await;
-    harness.targets.get("market-board-1").expect("it runs").change(|behaviour| behaviour.is_shedding = true);
+    harness
+        .targets
+        .get("market-board-1")
+        .expect("it runs")
+        .update_behaviour(|behaviour| behaviour.is_shedding = true);
     for call in 0..20 {
         let key = format!("k-{call}");
         let headers = [("standin-key", key.as_str())];
         let answer =
-            ask(entry(&harness, call % 2), Method::POST, "/market-board/x", &headers, Bytes::new()).await;
+            send_request(entry(&harness, call % 2), Method::POST, "/market-board/x", &headers, Bytes::new())
+                .await;
         assert_eq!(answer.expect("an answer").status, StatusCode::OK);
         assert_eq!(harness.records.runs(&key), 1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn told_not_run_when_no_target_takes_it_with_when_to_come_back() {
+async fn a_call_that_no_target_accepts_is_not_run_with_retry_after() {
     let harness = start(plan(2)).await;
     for target in harness.targets.all() {
-        target.change(|behaviour| behaviour.is_shedding = true);
+        target.update_behaviour(|behaviour| behaviour.is_shedding = true);
     }
     let headers = [("standin-key", "k")];
-    let answer = ask(entry(&harness, 0), Method::POST, "/market-board/x", &headers, Bytes::new()).await;
+    let answer =
+        send_request(entry(&harness, 0), Method::POST, "/market-board/x", &headers, Bytes::new()).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.header("laurelstall-outcome"), "not-run");
@@ -96,13 +109,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_paused_target_makes_a_call_unknown_and_it_is_not_tried_elsewhere() {
+async fn a_call_on_a_paused_target_is_unknown_and_not_retried() {
     let harness = start(plan(2)).await;
     for target in harness.targets.all() {
-        target.change(|behaviour| behaviour.speed = 0.0);
+        target.update_behaviour(|behaviour| behaviour.speed = 0.0);
     }
     let headers = [("standin-key", "k"), ("laurelstall-budget-ms", "300")];
-    let answer = ask(entry(&harness, 0), Method::POST, "/market-board/x", &headers, Bytes::new()).await;
+    let answer =
+        send_request(entry(&harness, 0), Method::POST, "/market-board/x", &headers, Bytes::new()).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(answer.header("laurelstall-outcome"), "unknown");
@@ -110,11 +124,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn requests_without_a_place_get_a_clear_error() {
+async fn requests_that_cannot_be_routed_get_an_explicit_error() {
     let harness = start(plan(1)).await;
     let at = entry(&harness, 0);
     let status = async |path: &str, headers: &[(&str, &str)]| {
-        let answer = ask(at, Method::GET, path, headers, Bytes::new()).await.expect("an answer");
+        let answer = send_request(at, Method::GET, path, headers, Bytes::new()).await.expect("an answer");
         assert_eq!(answer.header("laurelstall-outcome"), "not-run");
         answer.status
     };
@@ -135,7 +149,8 @@
 async fn a_repeated_ticket_runs_once_and_gets_the_kept_answer() {
     let harness = start(plan(3)).await;
     let path = "/laurelstall/tickets?service=market-board&count=3";
-    let answer = ask(entry(&harness, 0), Method::POST, path, &[], Bytes::new()).await.expect("an answer");
+    let answer =
+        send_request(entry(&harness, 0), Method::POST, path, &[], Bytes::new()).await.expect("an answer");
     assert_eq!(answer.status, StatusCode::OK);
     let tickets: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
     let ticket = tickets["tickets"][0].as_str().expect("a ticket").to_owned();
@@ -144,7 +159,8 @@
     for call in 0..6 {
         let headers = [("standin-key", "sale"), ("laurelstall-ticket", ticket.as_str())];
         let answer =
-            ask(entry(&harness, call % 3), Method::POST, "/market-board/x", &headers, body.clone()).await;
+            send_request(entry(&harness, call % 3), Method::POST, "/market-board/x", &headers, body.clone())
+                .await;
         let answer = answer.expect("an answer");
         assert_eq!((answer.status, &answer.body), (StatusCode::OK, &body));
     }
@@ -155,12 +171,19 @@
 async fn repeats_of_a_ticket_at_the_same_instant_run_once() {
     let harness = start(plan(2)).await;
     let path = "/laurelstall/tickets?service=market-board&count=1";
-    let answer = ask(entry(&harness, 0), Method::POST, path, &[], Bytes::new()).await.expect("an answer");
+    let answer =
+        send_request(entry(&harness, 0), Method::POST, path, &[], Bytes::new()).await.expect("an answer");
     let tickets: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
     let ticket = tickets["tickets"][0].as_str().expect("a ticket").to_owned();
     let headers = [("standin-key", "sale"), ("laurelstall-ticket", ticket.as_str())];
     let calls = (0..8).map(|call| {
-        ask(entry(&harness, call % 2), Method::POST, "/market-board/x", &headers, Bytes::from_static(b"b"))
+        send_request(
+            entry(&harness, call % 2),
+            Method::POST,
+            "/market-board/x",
+            &headers,
+            Bytes::from_static(b"b"),
+        )
     });
     let answers = futures_util::future::join_all(calls).await;
     assert!(
@@ -170,23 +193,24 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_ticket_of_an_earlier_start_is_unknown_and_never_runs() {
+async fn a_ticket_of_an_earlier_node_instance_is_unknown_and_never_runs() {
     let harness = start(plan(1)).await;
     let at = entry(&harness, 0);
     let path = "/laurelstall/tickets?service=market-board&count=1";
-    let answer = ask(at, Method::POST, path, &[], Bytes::new()).await.expect("an answer");
+    let answer = send_request(at, Method::POST, path, &[], Bytes::new()).await.expect("an answer");
     let tickets: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
     let ticket = tickets["tickets"][0].as_str().expect("a ticket").to_owned();
     let other = ticket.rsplitn(3, '~').collect::<Vec<_>>();
     let other = format!("{}~1~{}", other[2], other[0]);
     let headers = [("standin-key", "sale"), ("laurelstall-ticket", other.as_str())];
-    let answer = ask(at, Method::POST, "/market-board/x", &headers, Bytes::new()).await.expect("an answer");
+    let answer =
+        send_request(at, Method::POST, "/market-board/x", &headers, Bytes::new()).await.expect("an answer");
     assert_eq!(answer.header("laurelstall-outcome"), "unknown");
     assert_eq!(harness.records.runs("sale"), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_cuts_off_nothing_and_its_target_gets_nothing_new() {
+async fn a_planned_stop_aborts_no_call_and_its_target_gets_no_new_calls() {
     let mut plan = plan(2);
     plan.services[0].service_mean_ms = 200.0;
     let harness = start(plan).await;
@@ -197,7 +221,8 @@
         let target = if call % 2 == 0 { at } else { staying };
         calls.spawn(async move {
             let key = format!("k-{call}");
-            ask(target, Method::POST, "/market-board/x", &[("standin-key", &key)], Bytes::new()).await
+            send_request(target, Method::POST, "/market-board/x", &[("standin-key", &key)], Bytes::new())
+                .await
         });
     }
     let is_busy = async {
@@ -205,24 +230,25 @@
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(PATIENCE, is_busy).await.expect("calls reach the guard");
+    timeout(WAIT_TIMEOUT, is_busy).await.expect("calls reach the guard");
     let stopped = tokio::spawn(async move { stopping.stop().await });
     while let Some(answer) = calls.join_next().await {
         assert_eq!(answer.expect("no panic").expect("an answer").status, StatusCode::OK);
     }
-    assert!(timeout(PATIENCE, stopped).await.expect("it stops").expect("no panic"));
+    assert!(timeout(WAIT_TIMEOUT, stopped).await.expect("it stops").expect("no panic"));
     let target = harness.targets.get("market-board-1").expect("it runs");
-    let seen = target.seen();
+    let seen = target.requests_received();
     for _ in 0..5 {
         let answer =
-            ask(staying, Method::GET, "/market-board/x", &[("standin-key", "late")], Bytes::new()).await;
+            send_request(staying, Method::GET, "/market-board/x", &[("standin-key", "late")], Bytes::new())
+                .await;
         assert_eq!(answer.expect("an answer").status, StatusCode::OK);
     }
-    assert_eq!(target.seen(), seen);
+    assert_eq!(target.requests_received(), seen);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_host_listed_as_leaving_gets_nothing_new() {
+async fn a_leaving_host_gets_no_new_calls() {
     let harness = start(plan(2)).await;
     harness.set_host_state("market-board-1-host", HostState::Leaving);
     let nodes = harness.nodes();
@@ -236,52 +262,53 @@
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(PATIENCE, is_known).await.expect("the list reaches all nodes");
+    timeout(WAIT_TIMEOUT, is_known).await.expect("the list reaches all nodes");
     for call in 0..10 {
-        let answer = ask(entry(&harness, call % 2), Method::GET, "/market-board/x", &[], Bytes::new()).await;
+        let answer =
+            send_request(entry(&harness, call % 2), Method::GET, "/market-board/x", &[], Bytes::new()).await;
         assert_eq!(answer.expect("an answer").status, StatusCode::OK);
     }
-    assert_eq!(harness.targets.get("market-board-1").expect("it runs").seen(), 0);
+    assert_eq!(harness.targets.get("market-board-1").expect("it runs").requests_received(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_bad_document_is_refused_and_the_last_good_one_stays() {
+async fn an_invalid_document_is_rejected_and_the_last_valid_one_stays() {
     let harness = start(plan(2)).await;
     let name = DocumentName::Team(TEAM.to_owned());
     let good = harness.platform.text(&name).expect("it was published");
     harness.platform.publish(&name, "team = \"standin\"\nprogram = 1\n");
     let newest = harness.platform.publish(&name, &good.replace("tries: 3", "tries: 2"));
     let nodes = harness.nodes();
-    let is_in_force = async {
+    let has_newest = async {
         while !nodes.iter().all(|(_, node)| node.active.load().configuration.version(&name) == newest) {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, is_in_force).await.expect("the good one follows");
-    let answer = ask(entry(&harness, 0), Method::GET, "/market-board/x", &[], Bytes::new()).await;
+    timeout(WAIT_TIMEOUT, has_newest).await.expect("the valid document takes effect");
+    let answer = send_request(entry(&harness, 0), Method::GET, "/market-board/x", &[], Bytes::new()).await;
     assert_eq!(answer.expect("an answer").status, StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stale_platform_brings_nothing_back_even_to_a_restarted_node() {
+async fn a_stale_platform_rolls_back_no_document_even_on_a_restarted_node() {
     let harness = start(plan(3)).await;
     let name = DocumentName::Team(TEAM.to_owned());
     let text = harness.platform.text(&name).expect("it was published");
-    // The platform will show version 1 again after all nodes have version 2.
+    // The platform serves version 1 again after all nodes have received version 2.
     let old = harness.platform.snapshot();
     let newest = harness.platform.publish(&name, &text.replace("tries: 3", "tries: 2"));
-    let all_have = async |harness: &Harness| {
+    let wait_for_newest = async |harness: &Harness| {
         let nodes = harness.nodes();
-        let have = async {
+        let all_received = async {
             while !nodes.iter().all(|(_, node)| node.active.load().configuration.version(&name) == newest) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(PATIENCE, have).await.expect("the newest reaches all nodes");
+        timeout(WAIT_TIMEOUT, all_received).await.expect("the newest version reaches all nodes");
     };
-    all_have(&harness).await;
-    harness.platform.show(old);
-    let host = harness.host_name(1).expect("there is one");
+    wait_for_newest(&harness).await;
+    harness.platform.serve_snapshot(old);
+    let host = harness.host_name(1).expect("the host exists");
     let node = harness.take_node(&host).expect("it runs");
     let addresses = (node.entry_address, node.peer_address, node.admin_address);
     drop(node);
@@ -291,14 +318,14 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, started).await.expect("its addresses are free again");
+    timeout(WAIT_TIMEOUT, started).await.expect("its addresses are free again");
     let node = harness.node(&host).expect("it runs again");
     assert_eq!(node.active.load().configuration.version(&name), newest);
-    all_have(&harness).await;
+    wait_for_newest(&harness).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_platform_that_comes_back_from_a_copy_takes_back_nothing() {
+async fn a_platform_restored_from_an_older_copy_rolls_back_nothing() {
     let harness = start(plan(2)).await;
     let name = DocumentName::Team(TEAM.to_owned());
     let text = harness.platform.text(&name).expect("it was published");
@@ -307,37 +334,41 @@
     harness.set_host_state("market-board-1-host", HostState::Leaving);
     let nodes = harness.nodes();
     let is_leaving = |node: &NodeThread| {
-        let in_force = node.active.load();
-        let host = in_force.configuration.host("market-board-1-host").map(|host| host.state);
-        host == Some(HostState::Leaving) && in_force.configuration.version(&name) == newest
+        let snapshot = node.active.load();
+        let host = snapshot.configuration.host("market-board-1-host").map(|host| host.state);
+        host == Some(HostState::Leaving) && snapshot.configuration.version(&name) == newest
     };
-    let known = async {
+    let all_updated = async {
         while !nodes.iter().all(|(_, node)| is_leaving(node)) {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, known).await.expect("both reach all nodes");
-    harness.platform.return_from(&copy);
-    let read_again = async {
+    timeout(WAIT_TIMEOUT, all_updated).await.expect("both changes reach all nodes");
+    harness.platform.restore(&copy);
+    let list_read_again = async {
         let era = |node: &NodeThread| node.active.load().configuration.version(&DocumentName::Fleet).era;
         while !nodes.iter().all(|(_, node)| era(node) == 1) {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, read_again).await.expect("the copy's list reaches all nodes");
-    assert!(nodes.iter().all(|(_, node)| is_leaving(node)), "the copy does not know of either");
+    timeout(WAIT_TIMEOUT, list_read_again).await.expect("the copy's list reaches all nodes");
+    assert!(
+        nodes.iter().all(|(_, node)| is_leaving(node)),
+        "a node rolled back a change that the copy lacks"
+    );
     for call in 0..10 {
-        let answer = ask(entry(&harness, call % 2), Method::GET, "/market-board/x", &[], Bytes::new()).await;
+        let answer =
+            send_request(entry(&harness, call % 2), Method::GET, "/market-board/x", &[], Bytes::new()).await;
         assert_eq!(answer.expect("an answer").status, StatusCode::OK);
     }
-    assert_eq!(harness.targets.get("market-board-1").expect("it runs").seen(), 0);
+    assert_eq!(harness.targets.get("market-board-1").expect("it runs").requests_received(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_starts_while_the_platform_is_away() {
+async fn a_node_starts_while_the_platform_is_unavailable() {
     let harness = start(plan(3)).await;
-    harness.platform.set_away(true);
-    let host = harness.host_name(2).expect("there is one");
+    harness.platform.set_unavailable(true);
+    let host = harness.host_name(2).expect("the host exists");
     let node = harness.take_node(&host).expect("it runs");
     let addresses = (node.entry_address, node.peer_address, node.admin_address);
     drop(node);
@@ -346,19 +377,19 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, started).await.expect("its addresses are free again");
+    timeout(WAIT_TIMEOUT, started).await.expect("its addresses are free again");
     let is_ready = async {
         while harness.node(&host).expect("it runs").active.load().configuration.teams.is_empty() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, is_ready).await.expect("peers told it");
-    let answer = ask(addresses.0, Method::GET, "/market-board/x", &[], Bytes::new()).await;
+    timeout(WAIT_TIMEOUT, is_ready).await.expect("peers send the configuration");
+    let answer = send_request(addresses.0, Method::GET, "/market-board/x", &[], Bytes::new()).await;
     assert_eq!(answer.expect("an answer").status, StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn targets_of_an_evacuated_data_centre_get_nothing_new() {
+async fn targets_of_an_evacuated_data_centre_get_no_new_calls() {
     let harness = start(plan(2)).await;
     let nodes = harness.nodes();
     let hosts = nodes[0].1.active.load().configuration.fleet.hosts.clone();
@@ -370,10 +401,11 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, is_known).await.expect("the list reaches all nodes");
+    timeout(WAIT_TIMEOUT, is_known).await.expect("the list reaches all nodes");
     for call in 0..10 {
-        let answer = ask(entry(&harness, call % 2), Method::GET, "/market-board/x", &[], Bytes::new()).await;
+        let answer =
+            send_request(entry(&harness, call % 2), Method::GET, "/market-board/x", &[], Bytes::new()).await;
         assert_eq!(answer.expect("an answer").status, StatusCode::OK);
     }
-    assert_eq!(harness.targets.get("market-board-1").expect("it runs").seen(), 0);
+    assert_eq!(harness.targets.get("market-board-1").expect("it runs").requests_received(), 0);
 }
