--- a/crates/laurelstall_standin/src/bin/laurelstall-fleet.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-fleet.rs
@@ -3,7 +3,7 @@
 use gumdrop::Options;
 use laurelstall_standin::{
     fleet_bench::{Disturbance, FleetPlan, FleetResult, run},
-    threads::RuntimeThread,
+    runtime_thread::RuntimeThread,
 };
 use std::process::ExitCode;
 
--- a/crates/laurelstall_standin/src/bin/laurelstall-load.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-load.rs
@@ -5,8 +5,8 @@
 use laurelstall_standin::{
     experiment::{Balancer, BalancerResult, RunOptions, run},
     report,
+    runtime_thread::RuntimeThread,
     scenario::Scenario,
-    threads::RuntimeThread,
 };
 use serde::Serialize;
 use std::{collections::BTreeMap, path::Path, process::ExitCode};
--- a/crates/laurelstall_standin/src/bin/laurelstall-standin-target.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-standin-target.rs
@@ -2,7 +2,7 @@
 
 use gumdrop::Options;
 use laurelstall_standin::{
-    records::RunRecords,
+    run_records::RunRecords,
     target::{StandinTarget, TargetPlan},
 };
 use std::{net::TcpListener, process::ExitCode, sync::Arc, time::Duration};
--- a/crates/laurelstall_standin/src/bin/laurelstall-try.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-try.rs
@@ -5,7 +5,7 @@
     callers::{CallPlan, Callers, EntryAddresses, Totals, answered_latency},
     harness::Harness,
     harness_plan::HarnessPlan,
-    threads::RuntimeThread,
+    runtime_thread::RuntimeThread,
 };
 use serde::Serialize;
 use std::{process::ExitCode, sync::atomic::Ordering, time::Duration};
--- a/crates/laurelstall_standin/src/callers.rs
+++ b/crates/laurelstall_standin/src/callers.rs
@@ -4,7 +4,7 @@
 use crate::{
     call_uri::{CALLER_HOST, uri},
     latency::LatencyHistogram,
-    records::RunRecords,
+    run_records::RunRecords,
     target::{ANSWER_BYTES_HEADER, CHAIN_HEADER, KEY_HEADER, NO_WORK_HEADER, pattern_byte},
 };
 use bytes::Bytes;
@@ -230,17 +230,17 @@
     pub async fn run(self: &Arc<Self>, plan: &CallPlan) {
         let mut rng = SmallRng::seed_from_u64(plan.seed);
         let start = StdInstant::now();
-        let mut at = StdDuration::ZERO;
+        let mut offset = StdDuration::ZERO;
         let mut number = 0;
         let mut running = JoinSet::new();
         let chain = plan.chain.join(",");
         loop {
             let interval_s = -(1.0 - rng.random::<f64>()).ln() / plan.rate_per_s;
-            at += StdDuration::from_secs_f64(interval_s);
-            if at >= plan.length {
+            offset += StdDuration::from_secs_f64(interval_s);
+            if offset >= plan.length {
                 break;
             }
-            wait_until(start + at).await;
+            wait_until(start + offset).await;
             let Some(entry) = self.entries.choose(&mut rng) else { continue };
             let service = &plan.services[rng.random_range(0..plan.services.len())];
             let kind = if rng.random_bool(plan.write_share) { CallKind::Write } else { CallKind::Read };
@@ -251,10 +251,10 @@
             let this = self.clone();
             let plan_start = plan.start;
             running.spawn(async move {
-                let planned = start + at;
+                let planned = start + offset;
                 let (outcome, reason) = this.call_with_reason(&request).await;
                 let latency_us = planned.elapsed().as_micros() as u64;
-                let planned_us = (plan_start + at).as_micros() as u64;
+                let planned_us = (plan_start + offset).as_micros() as u64;
                 this.finished().push(FinishedCall { key, kind, outcome, reason, planned_us, latency_us });
             });
             while running.try_join_next().is_some() {}
--- a/crates/laurelstall_standin/src/experiment.rs
+++ b/crates/laurelstall_standin/src/experiment.rs
@@ -7,9 +7,9 @@
     harness_plan::{HarnessPlan, MakeChooserFactory, ServicePlan},
     latency::LatencyHistogram,
     process::{cpu_s, threads_cpu_s},
+    runtime_thread::RuntimeThread,
     scenario::{NoisyNeighbours, Scenario},
     target::Targets,
-    threads::RuntimeThread,
 };
 use laurelstall_balance::{
     baseline::{LeastStale, Oracle, Random, RoundRobin, TrueLoads, TwoChoices},
--- a/crates/laurelstall_standin/src/fault.rs
+++ b/crates/laurelstall_standin/src/fault.rs
@@ -192,7 +192,7 @@
                     entries.remove(entry);
                 });
                 if !node.stop().await {
-                    log::error!("node {}: planned stop exceeded its time limit", node.entry_address);
+                    log::error!("node {entry}: planned stop exceeded its time limit");
                 }
             } else {
                 context.entries.remove(node.entry_address);
--- a/crates/laurelstall_standin/src/fleet_bench.rs
+++ b/crates/laurelstall_standin/src/fleet_bench.rs
@@ -1,14 +1,14 @@
 //! Runs many real nodes in one process to measure configuration propagation and the cost of control traffic.
 
 use crate::{
-    cuts::{HostLink, Partitions},
     harness::{Sockets, to_toml},
     harness_plan::PROGRAM,
     latency::LatencyHistogram,
     node_thread::NodeThread,
+    partitions::{HostLink, Partitions},
     platform::{PlatformConnection, Snapshot, StandinPlatform},
     process::{cpu_s, memory_bytes},
-    threads::RuntimeThread,
+    runtime_thread::RuntimeThread,
 };
 use laurelstall_config::{
     document::{DocumentName, Version},
@@ -162,9 +162,9 @@
     let memory = memory_bytes().saturating_sub(memory_before);
     let before = bench.control_traffic();
     let (calls_before, cpu_before_s) = (bench.platform.calls(), cpu_s());
-    let measured = StdInstant::now();
+    let measurement_start = StdInstant::now();
     let (latency, changes, overdue) = bench.publish_and_measure().await?;
-    let length_s = measured.elapsed().as_secs_f64();
+    let length_s = measurement_start.elapsed().as_secs_f64();
     let cpu_spent_s = cpu_s() - cpu_before_s;
     let after = bench.control_traffic();
     let nodes = plan.nodes as f64;
--- a/crates/laurelstall_standin/src/harness.rs
+++ b/crates/laurelstall_standin/src/harness.rs
@@ -2,13 +2,13 @@
 
 use crate::{
     call_uri::CALLER_HOST,
-    cuts::{HostLink, Partitions},
     harness_plan::{HarnessPlan, ServicePlan},
     node_thread::NodeThread,
+    partitions::{HostLink, Partitions},
     platform::{PlatformConnection, StandinPlatform},
-    records::RunRecords,
+    run_records::RunRecords,
+    runtime_thread::RuntimeThread,
     target::{StandinTarget, TargetPlan, Targets, listen},
-    threads::RuntimeThread,
 };
 use laurelstall_config::{
     document::DocumentName,
@@ -192,11 +192,11 @@
     ///
     /// The calls of a level are the nested calls that the targets one level above it made.
     pub fn attempts_per_call_max_level(&self, levels: usize, calls: u64) -> f64 {
-        let received_and_made = |level: usize| {
+        let attempts_and_nested_calls = |level: usize| {
             let names = (1..=2).map(|number| format!("level-{level}-{number}"));
             let targets = names.filter_map(|name| self.targets.get(&name));
-            targets.fold((0, 0), |(received, made), target| {
-                (received + target.requests_received(), made + target.calls_made())
+            targets.fold((0, 0), |(attempts, made), target| {
+                (attempts + target.requests_received(), made + target.calls_made())
             })
         };
         if levels < 2 {
@@ -205,7 +205,7 @@
         let mut level_calls = calls;
         let mut highest: f64 = 0.0;
         for level in 1..=levels {
-            let (attempts, next_calls) = received_and_made(level);
+            let (attempts, next_calls) = attempts_and_nested_calls(level);
             if level_calls > 0 {
                 highest = highest.max(attempts as f64 / level_calls as f64);
             }
--- a/crates/laurelstall_standin/src/lib.rs
+++ b/crates/laurelstall_standin/src/lib.rs
@@ -5,7 +5,6 @@
 
 pub mod call_uri;
 pub mod callers;
-pub mod cuts;
 pub mod experiment;
 pub mod fault;
 pub mod fault_plan;
@@ -14,13 +13,14 @@
 pub mod harness_plan;
 pub mod latency;
 pub mod node_thread;
+pub mod partitions;
 pub mod platform;
 pub mod process;
-pub mod records;
 pub mod report;
+pub mod run_records;
+pub mod runtime_thread;
 pub mod scenario;
 pub mod target;
-pub mod threads;
 
 /// Re-exports the most commonly used types.
 pub mod prelude {
@@ -29,7 +29,7 @@
         harness::Harness,
         harness_plan::HarnessPlan,
         platform::StandinPlatform,
-        records::RunRecords,
+        run_records::RunRecords,
         target::StandinTarget,
     };
 }
--- a/crates/laurelstall_standin/src/node_thread.rs
+++ b/crates/laurelstall_standin/src/node_thread.rs
@@ -1,6 +1,6 @@
 //! Runs a real node on its own thread and runtime, as if in its own process.
 
-use crate::threads::RuntimeThread;
+use crate::runtime_thread::RuntimeThread;
 use laurelstall_node::{
     active::Active,
     counters::Counters,
--- a/crates/laurelstall_standin/src/platform.rs
+++ b/crates/laurelstall_standin/src/platform.rs
@@ -87,7 +87,8 @@
         version
     }
 
-    /// Returns the next version number of a document. The platform itself numbers the host list, from the version `current`.
+    /// Returns the next version number of a document. The platform itself numbers the host list, starting from
+    /// `current`.
     fn next_number(&self, name: &DocumentName, current: u64) -> u64 {
         if *name == DocumentName::Fleet {
             return current + 1;
--- a/crates/laurelstall_standin/src/target.rs
+++ b/crates/laurelstall_standin/src/target.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     call_uri::{CALLER_HOST, uri},
-    records::RunRecords,
+    run_records::RunRecords,
 };
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Request, Response, StatusCode, header::HOST};
@@ -314,8 +314,8 @@
         (sample - TIMER_OVERSHOOT_US).max(0.0)
     }
 
-    /// Handles `POST /standin/set?speed=0.1&failing=1&shedding=0&cutting=0`, which changes the behaviour of a target that
-    /// runs as its own process.
+    /// Handles `POST /standin/set?speed=0.1&failing=1&shedding=0&cutting=0`, which changes the behaviour of a target
+    /// that runs as its own process.
     fn handle_control(&self, request: &Request<Incoming>) -> Response<AnswerBody> {
         let query = request.uri().query().unwrap_or_default();
         self.update_behaviour(|behaviour| {
--- a/crates/laurelstall_standin/tests/bad_input.rs
+++ b/crates/laurelstall_standin/tests/bad_input.rs
@@ -44,7 +44,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn request_smuggling_is_rejected() {
     let harness = start(plan(1)).await;
-    let at = entry(&harness, 0);
+    let address = entry(&harness, 0);
     let attempts: [&[u8]; 6] = [        b"POST /market-board/x HTTP/1.1\r\nhost: standin.example\r\ncontent-length: 5\r\ncontent-length: 6\r\n\r\nhello!",
         b"POST /market-board/x HTTP/1.1\r\nhost: standin.example\r\ntransfer-encoding: xchunked\r\n\r\n0\r\n\r\n",
         b"GET /market-board/x HTTP/1.1\r\nhost: standin.example\r\nhost: other.example\r\n\r\n",
@@ -53,7 +53,7 @@
         b"POST /market-board/x HTTP/1.1\r\nhost: standin.example\r\ntransfer-encoding: chunked\r\n\r\nffffffffffffffffff\r\n",
     ];
     for attempt in attempts {
-        let answer = send_raw(at, attempt).await;
+        let answer = send_raw(address, attempt).await;
         let is_refused =
             answer.is_empty() || answer.starts_with("HTTP/1.1 4") || answer.starts_with("HTTP/1.1 5");
         assert!(is_refused, "{:?} -> {answer}", String::from_utf8_lossy(attempt));
@@ -65,11 +65,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn content_length_with_chunked_encoding_is_ignored_and_not_forwarded() {
     let harness = start(plan(1)).await;
-    let at = entry(&harness, 0);
+    let address = entry(&harness, 0);
     let both = b"POST /market-board/x HTTP/1.1\r\nhost: standin.example\r\ncontent-length: 5\r\n\
         transfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /market-board/smuggled HTTP/1.1\r\n\r\n";
     // RFC 9112, 6.3: transfer-encoding overrides content-length. The rest is a separate request, here without a host.
-    assert!(send_raw(at, both).await.starts_with("HTTP/1.1 200"));
+    assert!(send_raw(address, both).await.starts_with("HTTP/1.1 200"));
     assert_still_serves(&harness).await;
     assert_eq!(harness.targets.all()[0].requests_received(), 2);
 }
@@ -77,26 +77,26 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_oversized_head_is_rejected() {
     let harness = start(plan(1)).await;
-    let at = entry(&harness, 0);
+    let address = entry(&harness, 0);
     let head =
         format!("GET /market-board/x HTTP/1.1\r\nhost: standin.example\r\nx: {}\r\n\r\n", "a".repeat(60_000));
-    assert!(send_raw(at, head.as_bytes()).await.starts_with("HTTP/1.1 431"));
+    assert!(send_raw(address, head.as_bytes()).await.starts_with("HTTP/1.1 431"));
     let many = (0..150).map(|n| format!("x-{n}: 1\r\n")).collect::<String>();
     let head = format!("GET /market-board/x HTTP/1.1\r\nhost: standin.example\r\n{many}\r\n");
-    assert!(send_raw(at, head.as_bytes()).await.starts_with("HTTP/1.1 431"));
+    assert!(send_raw(address, head.as_bytes()).await.starts_with("HTTP/1.1 431"));
     assert_still_serves(&harness).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_incomplete_request_is_closed_and_never_runs() {
     let harness = start(plan(1)).await;
-    let at = entry(&harness, 0);
-    let mut stream = TcpStream::connect(at).await.expect("the entry listens");
+    let address = entry(&harness, 0);
+    let mut stream = TcpStream::connect(address).await.expect("the entry listens");
     let half = b"POST /market-board/x HTTP/1.1\r\nhost: standin.example\r\nstandin-key: half\r\ncontent-length: 100\r\n\r\nhalf";
     stream.write_all(half).await.expect("the node reads the request");
     drop(stream);
     // The node closes a connection with an incomplete head after its head timeout.
-    let answer = send_raw(at, b"GET /market-board/x HTT").await;
+    let answer = send_raw(address, b"GET /market-board/x HTT").await;
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
     assert_still_serves(&harness).await;
 }
@@ -104,8 +104,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_node_keeps_serving_after_http2_stream_resets() {
     let harness = start(plan(1)).await;
-    let at = entry(&harness, 0);
-    let stream = TcpStream::connect(at).await.expect("the entry listens");
+    let address = entry(&harness, 0);
+    let stream = TcpStream::connect(address).await.expect("the entry listens");
     let (mut sender, connection) = h2::client::handshake(stream).await.expect("HTTP/2 without TLS");
     tokio::spawn(connection);
     // The node treats many more resets in a row as an attack and closes the connection.
@@ -128,9 +128,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn malformed_and_unknown_version_peer_messages_are_refused() {
     let harness = start(plan(1)).await;
-    let at = harness.nodes()[0].1.peer_address;
+    let address = harness.nodes()[0].1.peer_address;
     for first in [&[9_u8, 0, 0, 0, 1, 0][..], &[1, 255, 255, 255, 255][..], &[1, 0, 0, 0, 2, 250, 250][..]] {
-        let stream = TcpStream::connect(at).await.expect("the node listens");
+        let stream = TcpStream::connect(address).await.expect("the node listens");
         let (sender, connection) = h2::client::handshake(stream).await.expect("HTTP/2");
         tokio::spawn(connection);
         let mut sender = sender.ready().await.expect("a stream is free");
@@ -148,7 +148,7 @@
         let refused = PeerAnswer::Refused(Refusal::new(RefusalReason::Unreadable));
         assert_eq!(answer.expect("the answer can be decoded"), refused);
     }
-    let mut stream = TcpStream::connect(at).await.expect("the node listens");
+    let mut stream = TcpStream::connect(address).await.expect("the node listens");
     stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("the node reads the request");
     let mut rest = Vec::new();
     // The connection may be closed or reset.
--- a/crates/laurelstall_standin/tests/scenarios.rs
+++ b/crates/laurelstall_standin/tests/scenarios.rs
@@ -2,8 +2,8 @@
 
 use laurelstall_standin::{
     experiment::{Balancer, RunOptions, run},
+    runtime_thread::RuntimeThread,
     scenario::Scenario,
-    threads::RuntimeThread,
 };
 use std::{fs, path::PathBuf};
 
--- a/crates/laurelstall_standin/tests/whole_path.rs
+++ b/crates/laurelstall_standin/tests/whole_path.rs
@@ -44,10 +44,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn hundreds_of_calls_with_empty_bodies_pass_over_one_connection() {
     let harness = start(plan(2)).await;
-    let at = entry(&harness, 0);
+    let address = entry(&harness, 0);
     for call in 0..400 {
         let method = if call % 2 == 0 { Method::GET } else { Method::POST };
-        let answer = send_request(at, method, "/market-board/x", &[("standin-key", "k")], Bytes::new()).await;
+        let answer =
+            send_request(address, method, "/market-board/x", &[("standin-key", "k")], Bytes::new()).await;
         let answer = answer.expect("an answer");
         assert_eq!(
             (answer.status, answer.header("laurelstall-outcome")),
@@ -126,9 +127,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_that_cannot_be_routed_get_an_explicit_error() {
     let harness = start(plan(1)).await;
-    let at = entry(&harness, 0);
+    let address = entry(&harness, 0);
     let status = async |path: &str, headers: &[(&str, &str)]| {
-        let answer = send_request(at, Method::GET, path, headers, Bytes::new()).await.expect("an answer");
+        let answer =
+            send_request(address, Method::GET, path, headers, Bytes::new()).await.expect("an answer");
         assert_eq!(answer.header("laurelstall-outcome"), "not-run");
         answer.status
     };
@@ -195,16 +197,17 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_ticket_of_an_earlier_node_instance_is_unknown_and_never_runs() {
     let harness = start(plan(1)).await;
-    let at = entry(&harness, 0);
+    let address = entry(&harness, 0);
     let path = "/laurelstall/tickets?service=market-board&count=1";
-    let answer = send_request(at, Method::POST, path, &[], Bytes::new()).await.expect("an answer");
+    let answer = send_request(address, Method::POST, path, &[], Bytes::new()).await.expect("an answer");
     let tickets: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
     let ticket = tickets["tickets"][0].as_str().expect("a ticket").to_owned();
     let other = ticket.rsplitn(3, '~').collect::<Vec<_>>();
     let other = format!("{}~1~{}", other[2], other[0]);
     let headers = [("standin-key", "sale"), ("laurelstall-ticket", other.as_str())];
-    let answer =
-        send_request(at, Method::POST, "/market-board/x", &headers, Bytes::new()).await.expect("an answer");
+    let answer = send_request(address, Method::POST, "/market-board/x", &headers, Bytes::new())
+        .await
+        .expect("an answer");
     assert_eq!(answer.header("laurelstall-outcome"), "unknown");
     assert_eq!(harness.records.runs("sale"), 0);
 }
@@ -215,10 +218,10 @@
     plan.services[0].service_mean_ms = 200.0;
     let harness = start(plan).await;
     let (stopping, staying) = (harness.nodes()[0].1.clone(), entry(&harness, 1));
-    let at = stopping.entry_address;
+    let address = stopping.entry_address;
     let mut calls = tokio::task::JoinSet::new();
     for call in 0..20 {
-        let target = if call % 2 == 0 { at } else { staying };
+        let target = if call % 2 == 0 { address } else { staying };
         calls.spawn(async move {
             let key = format!("k-{call}");
             send_request(target, Method::POST, "/market-board/x", &[("standin-key", &key)], Bytes::new())
