--- a/crates/laurelstall_guard/src/target_identity.rs
+++ b/crates/laurelstall_guard/src/target_identity.rs
@@ -98,12 +98,12 @@
             return;
         }
         listed.clone_into(&mut self.listed);
-        self.forget_report();
+        self.reset_to_listed_name();
     }
 
     /// Addresses the instance by its listed name again and discards any doubt about it, because another
     /// instance was started under the same name.
-    pub fn forget_report(&mut self) {
+    pub fn reset_to_listed_name(&mut self) {
         self.successor = None;
         self.is_report_wrong = false;
         self.doubt = None;
--- a/crates/laurelstall_node/src/call/attempts.rs
+++ b/crates/laurelstall_node/src/call/attempts.rs
@@ -120,7 +120,7 @@
             class: self.request.class,
             importance: self.importance(),
             workspace: self.request.workspace.as_ref().map_or_else(String::new, |own| own.name.clone()),
-            is_return: self.request.is_return,
+            is_return: self.request.is_caller_retry,
             is_repeat: self.possible_runs > 0 || self.request.is_parent_retry,
             may_repeat: self.request.route.may_repeat,
             may_hand_back,
--- a/crates/laurelstall_node/src/call/outcomes.rs
+++ b/crates/laurelstall_node/src/call/outcomes.rs
@@ -88,7 +88,7 @@
             digest: self.request.digest.to_string(),
             attempt: self.attempts,
             importance: self.importance(),
-            is_return: self.request.is_return,
+            is_return: self.request.is_caller_retry,
             left_us: self.request.deadline_us.saturating_sub(destination.sent_at_us),
             service: self.service.name.clone(),
             version: self.policy_version(),
--- a/crates/laurelstall_node/src/call_request.rs
+++ b/crates/laurelstall_node/src/call_request.rs
@@ -41,7 +41,7 @@
     /// Whether the parent call's run is a retry, so that the service may have received this call before.
     pub is_parent_retry: bool,
     /// Whether the caller appears to be retrying an earlier call.
-    pub is_return: bool,
+    pub is_caller_retry: bool,
     /// Class of calls with similar run times.
     pub class: CallClass,
     /// Deadline of the call, in µs of the node's clock.
--- a/crates/laurelstall_node/src/entry/request_reader.rs
+++ b/crates/laurelstall_node/src/entry/request_reader.rs
@@ -73,7 +73,7 @@
         let parent_deadline_us = parent.as_ref().and_then(|parent| parent.deadline_us);
         let deadline_us = (now_us + budget_ms * 1_000).min(parent_deadline_us.unwrap_or(u64::MAX));
         let is_nested = depth > 0 || parent.is_some();
-        let is_return = !is_nested && self.is_return(&parts, &route)?;
+        let is_caller_retry = !is_nested && self.is_caller_retry(&parts, &route)?;
         let parent_useful_until_us = parent.as_ref().map_or(0, |parent| parent.useful_until_us);
         let objective_ms = route.latency_objective_ms;
         let useful_until_us =
@@ -123,7 +123,7 @@
             budget_importance: parent.as_ref().map_or(importance, |parent| parent.importance),
             is_parent_retry: parent.is_some_and(|parent| parent.is_repeat),
             workspace: caller.workspace,
-            is_return,
+            is_caller_retry,
             route,
             deadline_us,
             useful_until_us,
@@ -146,7 +146,7 @@
     }
 
     /// Whether the time budget, compared with typical ones, shows that the caller is retrying an earlier call.
-    fn is_return(&self, parts: &Parts, route: &Route) -> Result<bool, Rejection> {
+    fn is_caller_retry(&self, parts: &Parts, route: &Route) -> Result<bool, Rejection> {
         let requested_ms = self.context.dialect.budget_ms(&parts.headers).map_err(bad_number)?;
         let Some(requested_ms) = requested_ms else { return Ok(false) };
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -148,7 +148,7 @@
         };
         let client = options.settings.as_ref().map(TargetClient::new);
         let address_reuse_s = options.settings.as_ref().map_or(0.0, |settings| settings.address_reuse_s);
-        let identity_deadline_us = options.clock.now_us() + (address_reuse_s * 1e6) as u64;
+        let address_reserved_until_us = options.clock.now_us() + (address_reuse_s * 1e6) as u64;
         let inner = Inner {
             clock: options.clock,
             host: options.host,
@@ -158,7 +158,7 @@
             guard: Guard::new(limits, options.clock),
             ledger: Mutex::new(Ledger::new(options.incarnation, 0)),
             listed: Mutex::default(),
-            identity: Mutex::new(TargetIdentity::new(identity_deadline_us)),
+            identity: Mutex::new(TargetIdentity::new(address_reserved_until_us)),
             identity_check: AsyncMutex::default(),
             watch: Mutex::default(),
             crash_check: AsyncMutex::default(),
--- a/crates/laurelstall_node/src/target_guard/listed_target.rs
+++ b/crates/laurelstall_node/src/target_guard/listed_target.rs
@@ -81,7 +81,7 @@
     fn note_restart(&self, name: &str, started_unix_ms: u64) {
         log::info!("own target: '{name}' restarted at Unix time {started_unix_ms} ms of its own clock");
         self.inner.guard.discard_cold_report();
-        self.inner.identity().forget_report();
+        self.inner.identity().reset_to_listed_name();
         if let Some(client) = &self.inner.client {
             client.close_idle();
         }
--- a/crates/laurelstall_standin/src/bin/laurelstall-try.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-try.rs
@@ -135,7 +135,7 @@
     let added = |percent: f64| via_entry.percentile_ms(percent) - direct.percentile_ms(percent);
     let per_node = seconds as f64 * nodes.len() as f64;
     let observation_bytes: u64 =
-        nodes.iter().map(|(_, node)| node.entry.context.observer.spent().bytes).sum();
+        nodes.iter().map(|(_, node)| node.entry.context.observer.usage().bytes).sum();
     Ok(TryResult {
         totals,
         p50_ms: latency.percentile_ms(50.0),
--- a/crates/laurelstall_standin/src/experiment.rs
+++ b/crates/laurelstall_standin/src/experiment.rs
@@ -432,7 +432,7 @@
         sleep(Duration::from_millis(SAMPLE_INTERVAL_MS)).await;
         let nodes = harness.nodes();
         let before = StdInstant::now();
-        let bytes = nodes.iter().map(|(_, node)| node.entry.context.observer.spent().bytes).collect();
+        let bytes = nodes.iter().map(|(_, node)| node.entry.context.observer.usage().bytes).collect();
         samples.push(Sample { before, after: StdInstant::now(), bytes });
     }
     let mut deltas = Vec::new();
--- a/crates/laurelstall_standin/src/fleet_bench.rs
+++ b/crates/laurelstall_standin/src/fleet_bench.rs
@@ -347,7 +347,7 @@
                     self.latest_versions.entry((index, name.clone())).or_insert((*version, Some(start)));
                 // A restarted node may lag until it has joined; from then on it must not use an older version than
                 // its host used before.
-                if *version < latest.0 && node.spread.is_joined() {
+                if *version < latest.0 && node.replicator.is_joined() {
                     self.rollbacks += 1;
                 }
                 *latest = (*version, Some(start));
--- a/crates/laurelstall_standin/src/harness.rs
+++ b/crates/laurelstall_standin/src/harness.rs
@@ -326,7 +326,7 @@
         let listeners = Listeners { entry: sockets.entry.0, peer: sockets.peer.0, admin: sockets.admin.0 };
         let mut options = NodeOptions::new(settings, listeners);
         options.seed = self.plan.seed.wrapping_mul(7_919) + index as u64;
-        options.is_plain = self.plan.is_baseline;
+        options.is_baseline = self.plan.is_baseline;
         options.link =
             Arc::new(HostLink { data_centre: host.data_centre.clone(), partitions: self.partitions.clone() });
         let flag = self.partitions.platform_partition_flag(&host.data_centre);
--- a/crates/laurelstall_standin/src/node_thread.rs
+++ b/crates/laurelstall_standin/src/node_thread.rs
@@ -2,13 +2,13 @@
 
 use crate::runtime_thread::RuntimeThread;
 use laurelstall_node::{
-    active::Active,
+    active_config::ActiveConfig,
     counters::Counters,
     entry::Entry,
     node::{Node, NodeError, NodeOptions},
     target_guard::TargetGuard,
 };
-use laurelstall_peer::{meter::Meter, spread::Spread};
+use laurelstall_peer::{meter::Meter, replicator::Replicator};
 use std::{net::SocketAddr, sync::Arc, thread};
 use tokio::{
     sync::{mpsc, oneshot},
@@ -33,9 +33,9 @@
     /// Counters of the node.
     pub counters: Arc<Counters>,
     /// Replication of the configuration between nodes.
-    pub spread: Arc<Spread>,
+    pub replicator: Arc<Replicator>,
     /// The configuration that the node uses.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// Guard of the target on the node's host.
     pub guard: TargetGuard,
     /// Entry part of the node, which takes calls from callers.
@@ -70,7 +70,7 @@
                 peer_address: node.peer_address,
                 admin_address: node.admin_address,
                 counters: node.counters.clone(),
-                spread: node.spread.clone(),
+                replicator: node.replicator.clone(),
                 active: node.active.clone(),
                 guard: node.guard.clone(),
                 entry: node.entry.clone(),
--- a/crates/laurelstall_standin/tests/administration.rs
+++ b/crates/laurelstall_standin/tests/administration.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use laurelstall_config::settings::{Role, TokenSettings};
-use laurelstall_crash::{crash_table::Verdict, request_digest::RequestDigest};
+use laurelstall_crash::{crash_table::QuarantineStatus, request_digest::RequestDigest};
 use serde_json::Value;
 use support::{Answer, entry, plan, send_request, start};
 
@@ -112,9 +112,9 @@
     plan.tokens = tokens();
     let harness = start(plan).await;
     let digest = RequestDigest { whole: 0xab, head: 1 };
-    let crashes = |node: usize| harness.nodes()[node].1.spread.crashes().clone();
+    let crashes = |node: usize| harness.nodes()[node].1.replicator.crashes().clone();
     for end in 1..=2 {
-        crashes(0).note_end(end, "standin/market-board", &[digest]);
+        crashes(0).note_crash(end, "standin/market-board", &[digest]);
     }
     let admin = harness.nodes()[0].1.admin_address;
     let held = async |token: &str| {
@@ -139,7 +139,7 @@
     assert_eq!(release(OPERATE, "ab").await, StatusCode::NOT_FOUND);
     assert_eq!(release(OPERATE, "00000000000000ab").await, StatusCode::OK);
     for node in 0..2 {
-        while crashes(node).verdict(digest) != Verdict::Harmless {
+        while crashes(node).quarantine_status(digest) != QuarantineStatus::Harmless {
             tokio::time::sleep(tokio::time::Duration::from_millis(10)).await;
         }
     }
--- a/crates/laurelstall_standin/tests/observing.rs
+++ b/crates/laurelstall_standin/tests/observing.rs
@@ -27,11 +27,11 @@
     let nodes = harness.nodes();
     let client = nodes[0].1.entry.context.client.clone();
     let (address, meter) = (nodes[1].1.peer_address, nodes[0].1.meter().clone());
-    client.ask(address, &PeerRequest::Probe).await.expect("an answer");
+    client.request(address, &PeerRequest::Probe).await.expect("an answer");
     let before = bytes(&meter);
     let mut answered = 0;
     for _ in 0..PROBES {
-        let answer = client.ask(address, &PeerRequest::Probe).await.expect("an answer");
+        let answer = client.request(address, &PeerRequest::Probe).await.expect("an answer");
         answered += u64::from(matches!(answer, PeerAnswer::Probed(Some(_))));
     }
     let spent = bytes(&meter) - before;
@@ -54,6 +54,6 @@
         assert_eq!(answer.expect("an answer").status, 200);
     }
     for (name, node) in harness.nodes() {
-        assert_eq!(node.entry.context.observer.spent().bytes, 0, "{name}");
+        assert_eq!(node.entry.context.observer.usage().bytes, 0, "{name}");
     }
 }
