--- a/crates/laurelstall_balance/src/attempt_budget.rs
+++ b/crates/laurelstall_balance/src/attempt_budget.rs
@@ -4,9 +4,9 @@
 
 /// Part of the deposits of the last ten seconds that the budget may hold.
 ///
-/// In any ten seconds, extra attempts may reach twice the configured percentage of the calls. Half of the second
-/// percentage is for tokens that were saved before the window, the other half for an entry node that restarts in it
-/// and starts with new ones.
+/// Extra attempts in any ten seconds stay below twice the configured percentage: once for the calls in the window, and
+/// half of it each for tokens saved before the window and for the starting tokens of an entry node that restarts within
+/// it.
 const SAVED_SHARE: f64 = 0.5;
 /// Part of the reserve that the budget may hold, and that it starts with.
 ///
@@ -37,9 +37,9 @@
 /// from level to level. The balance is limited by the calls of the last ten seconds, so that all entry nodes together
 /// stay below a limit on their calls together. A reserve, which all entry nodes share, lets quiet services retry.
 ///
-/// Where hundreds of entry nodes share a limit, the part of one is a fraction of an attempt. Such a fraction is
-/// withdrawn whole, and the attempt is granted with that probability. The sum over many entry nodes stays close to
-/// their balances.
+/// Where hundreds of entry nodes share a limit, the balance of one may be less than a token. An attempt takes that
+/// whole balance and is granted with a probability equal to it, so the granted attempts of many entry nodes stay close
+/// to the sum of their balances.
 #[derive(Debug, Clone)]
 pub struct AttemptBudget {
     share: f64,
--- a/crates/laurelstall_balance/src/baseline.rs
+++ b/crates/laurelstall_balance/src/baseline.rs
@@ -21,7 +21,7 @@
             return None;
         }
         let at = context.rng.random_range(0..candidates.len());
-        Some(Choice::by_rule(candidates[at].index))
+        Some(Choice::without_cost(candidates[at].index))
     }
 }
 
@@ -41,7 +41,7 @@
             return None;
         }
         self.next = (self.next + 1) % candidates.len();
-        Some(Choice::by_rule(candidates[self.next].index))
+        Some(Choice::without_cost(candidates[self.next].index))
     }
 }
 
@@ -61,7 +61,7 @@
         let a = &candidates[context.rng.random_range(0..candidates.len())];
         let b = &candidates[context.rng.random_range(0..candidates.len())];
         let better = if a.view.in_flight() <= b.view.in_flight() { a } else { b };
-        Some(Choice::by_rule(better.index))
+        Some(Choice::without_cost(better.index))
     }
 }
 
@@ -137,7 +137,7 @@
 fn least_loaded(candidates: &[Candidate<'_>], load: impl Fn(&str) -> f64) -> Option<Choice> {
     let loads = candidates.iter().map(|c| (c.index, load(&c.view.name)));
     let (index, _) = loads.min_by(|a, b| a.1.total_cmp(&b.1))?;
-    Some(Choice::by_rule(index))
+    Some(Choice::without_cost(index))
 }
 
 impl fmt::Debug for Oracle {
--- a/crates/laurelstall_balance/src/chooser.rs
+++ b/crates/laurelstall_balance/src/chooser.rs
@@ -20,8 +20,8 @@
     Only,
     /// It had the lowest expected cost of those compared.
     LeastCost,
-    /// The algorithm does not compare expected times.
-    Rule,
+    /// It was chosen by a baseline algorithm, which computes no cost.
+    Baseline,
 }
 
 impl fmt::Display for Reason {
@@ -29,7 +29,7 @@
         f.write_str(match self {
             Self::Only => "only one left",
             Self::LeastCost => "least expected time",
-            Self::Rule => "rule",
+            Self::Baseline => "rule",
         })
     }
 }
@@ -41,16 +41,17 @@
     pub index: usize,
     /// Why the target was chosen.
     pub reason: Reason,
-    /// The expected cost of this target in µs; 0 when the algorithm computes none.
+    /// Expected cost in µs: time plus the penalties for a late answer and a remote data centre. 0 when the algorithm
+    /// computes none.
     pub score_us: f64,
     /// Index and expected cost in µs of the second best target, if any was compared.
     pub runner_up: Option<(usize, f64)>,
 }
 
 impl Choice {
-    /// Creates a choice without expected costs.
-    pub fn by_rule(index: usize) -> Self {
-        Self { index, reason: Reason::Rule, score_us: 0.0, runner_up: None }
+    /// Creates the choice of an algorithm that computes no costs.
+    pub fn without_cost(index: usize) -> Self {
+        Self { index, reason: Reason::Baseline, score_us: 0.0, runner_up: None }
     }
 }
 
--- a/crates/laurelstall_balance/src/hint.rs
+++ b/crates/laurelstall_balance/src/hint.rs
@@ -18,7 +18,8 @@
 /// A guard's report on the load of its target at one instant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hint {
-    /// Low half of the guard's start time; it changes when the process is replaced or restarted.
+    /// Low half of the random number that identifies this start of the guard; it changes when the process is replaced
+    /// or restarted.
     pub incarnation: u32,
     /// Number of requests running at the target.
     pub in_flight: u32,
--- a/crates/laurelstall_balance/src/least_cost.rs
+++ b/crates/laurelstall_balance/src/least_cost.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, rngs::SmallRng, seq::IndexedRandom};
 
 /// Number of targets that are compared for each choice.
-pub const WEIGHED_DEFAULT: usize = 4;
+pub const COMPARED_DEFAULT: usize = 4;
 /// Number of remote targets that are compared in addition.
 const REMOTE_COMPARED: usize = 4;
 /// Expected time in µs that is added for a target that fails every call, and in proportion for others.
@@ -17,8 +17,8 @@
 /// Weight of the expected time relative to the chance of a late answer: of two targets that are likely to be in time,
 /// the quicker one is preferred.
 const TIME_WEIGHT: f64 = 0.1;
-/// Spread of response times around the expected one, relative to the useful time.
-const LATE_SPREAD: f64 = 0.2;
+/// Scale of the logistic distribution of response times, relative to the useful time.
+const RESPONSE_TIME_SCALE: f64 = 0.2;
 /// Lower bound of the useful time in µs: later answers still have some value.
 const USEFUL_MIN_US: f64 = 20_000.0;
 
@@ -71,7 +71,7 @@
 
 impl Default for LeastCost {
     fn default() -> Self {
-        Self::new(WEIGHED_DEFAULT)
+        Self::new(COMPARED_DEFAULT)
     }
 }
 
@@ -84,14 +84,14 @@
         let mut best: Option<(usize, f64)> = None;
         let mut runner_up = None;
         for candidate in self.sample_candidates(candidates, context) {
-            let score = cost_us(candidate.view, context);
+            let cost_us = expected_cost_us(candidate.view, context);
             match best {
-                Some((_, least)) if score >= least => {
-                    if runner_up.is_none_or(|(_, second)| score < second) {
-                        runner_up = Some((candidate.index, score));
+                Some((_, least)) if cost_us >= least => {
+                    if runner_up.is_none_or(|(_, second)| cost_us < second) {
+                        runner_up = Some((candidate.index, cost_us));
                     }
                 }
-                _ => runner_up = best.replace((candidate.index, score)),
+                _ => runner_up = best.replace((candidate.index, cost_us)),
             }
         }
         let (index, score_us) = best?;
@@ -108,7 +108,7 @@
 /// remote data centre.
 ///
 /// Calls without a latency objective have no cost for a late answer.
-fn cost_us(view: &TargetView, context: &ChoiceContext<'_>) -> f64 {
+fn expected_cost_us(view: &TargetView, context: &ChoiceContext<'_>) -> f64 {
     let expected_us = expected_us(view, context);
     let remote_cost =
         if context.waives_remote_cost { 0.0 } else { f64::from(view.remote_cost_percent) / 100.0 };
@@ -124,7 +124,7 @@
 
 /// The probability that an answer that is expected after `expected_us` arrives later than `useful_us`.
 fn late_probability(expected_us: f64, useful_us: f64) -> f64 {
-    1.0 / (1.0 + ((1.0 - expected_us / useful_us) / LATE_SPREAD).exp())
+    1.0 / (1.0 + ((1.0 - expected_us / useful_us) / RESPONSE_TIME_SCALE).exp())
 }
 
 /// The expected time in µs of a call at this target: network, queue and service.
@@ -133,9 +133,9 @@
 /// sent since the hint count in full.
 pub fn expected_us(view: &TargetView, context: &ChoiceContext<'_>) -> f64 {
     let slots = f64::from(view.slots.max(1));
-    // This entry node's calls in flight are the freshest information on a target.
-    let own = (f64::from(view.in_flight()) + 1.0) / (context.own_mean_in_flight + 1.0);
-    let mean_in_flight = context.mean_load * slots * own;
+    // This entry node's calls in flight at the target relative to its mean; the freshest information on a target.
+    let own_share = (f64::from(view.in_flight()) + 1.0) / (context.own_mean_in_flight + 1.0);
+    let mean_in_flight = context.mean_load * slots * own_share;
     let (busy, limit, service_us) = match view.hint(context.now_us) {
         Some((hint, age_us)) => {
             let trust = 1.0 / (1.0 + age_us as f64 / HINT_HALF_AGE_US);
@@ -158,8 +158,8 @@
     let own_us = context.class_mean_us.map_or(service_us, |class_mean_us| class_mean_us * slowness);
     // A part of the service time in proportion to the load spreads calls evenly over targets below their limit.
     let wait_us = (busy + 1.0 - limit).max(0.0) / limit * service_us;
-    let spread_us = 0.5 * busy / limit * service_us;
+    let load_us = 0.5 * busy / limit * service_us;
     let error_us = view.error_rate(context.now_us) * ERROR_PENALTY_US;
     let ramp = view.ejection.ramp(context.now_us, context.slow_start_us);
-    view.round_trip_us as f64 + (own_us + wait_us + spread_us + error_us) / ramp
+    view.round_trip_us as f64 + (own_us + wait_us + load_us + error_us) / ramp
 }
--- a/crates/laurelstall_balance/src/service_balancer.rs
+++ b/crates/laurelstall_balance/src/service_balancer.rs
@@ -34,11 +34,11 @@
 const INITIAL_SERVICE_US: f64 = 5_000.0;
 /// Slots per queued call that are assumed at a target whose guard handed a call back.
 const SLOTS_PER_QUEUED_CALL: u32 = 2;
-/// Load of the local data centre from which targets are queried before a call is placed. Below it, queues are short
+/// Load of the local data centre from which targets are probed before a call is placed. Below it, queues are short
 /// at every target.
-const QUERY_LOAD_MIN: f64 = 0.4;
-/// Age in µs from which a target's hint is refreshed by a query: about the time in which its load changes.
-const QUERY_HINT_AGE_US: u64 = 50_000;
+const PROBE_LOAD_MIN: f64 = 0.4;
+/// Age in µs from which a target's hint is refreshed by a probe: about the time in which its load changes.
+const PROBE_HINT_AGE_US: u64 = 50_000;
 /// Cap on the load of a target in the comparison of data centres: all slots are in use and as many calls wait.
 const LOAD_MAX: f64 = 2.0;
 /// Age in µs up to which a hint tells whether its target has a queue.
@@ -85,7 +85,7 @@
 /// Constraints that a call puts on the choice of its target.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceRequest<'a> {
-    /// Indices of targets that already refused this call.
+    /// Indices of targets that are not tried again for this call.
     pub excluded: &'a [usize],
     /// The name of the only allowed target, for a call with a ticket.
     pub only: Option<&'a str>,
@@ -300,14 +300,14 @@
     /// Records that a guard refused a call because it has no target of this name and expects none for `wait_ms`.
     pub fn note_absent(&mut self, index: usize, name: &str, wait_ms: u32, now_us: u64) {
         let Some(index) = self.index_of(index, name) else { return };
-        self.targets[index].note_absent(u64::from(wait_ms) * 1_000, now_us);
+        self.targets[index].skip_for(u64::from(wait_ms) * 1_000, now_us);
     }
 
     /// Records that a guard refused a call because its cold target admits no further call for `wait_ms`.
     pub fn note_cold_limit(&mut self, index: usize, name: &str, wait_ms: u32, now_us: u64) {
         let Some(index) = self.index_of(index, name) else { return };
         let wait_us = (u64::from(wait_ms) * 1_000).clamp(1, COLD_PAUSE_MAX_US);
-        self.targets[index].note_absent(wait_us, now_us);
+        self.targets[index].skip_for(wait_us, now_us);
     }
 
     /// Slowness in percent of normal service time from which a target counts as slow compared with the others.
@@ -343,21 +343,21 @@
         queueing * 3 > live.count() * 2
     }
 
-    /// Local targets whose load should be queried before a call is placed: up to `count` of those with an old hint,
-    /// drawn at random, and none while the load of the local data centre is low.
+    /// Local targets that should be probed for their load before a call is placed: up to `count` of those with an old
+    /// hint, drawn at random, and none while the load of the local data centre is low.
     ///
-    /// An entry node that sends a service few calls has hints that are seconds old, and without queries it sends calls
-    /// to busy targets (`tests/placing.rs`).
+    /// An entry node that sends a service few calls has hints that are seconds old, and without probes it sends calls
+    /// to busy targets.
     pub fn targets_to_query(&mut self, count: usize, now_us: u64) -> Vec<QueryTarget> {
-        if self.spillover.local_load() < QUERY_LOAD_MIN {
+        if self.spillover.local_load() < PROBE_LOAD_MIN {
             return Vec::new();
         }
         let is_old =
-            |view: &TargetView| view.hint(now_us).is_none_or(|(_, age_us)| age_us > QUERY_HINT_AGE_US);
-        let should_query = |(_, view): &(usize, &TargetView)| {
+            |view: &TargetView| view.hint(now_us).is_none_or(|(_, age_us)| age_us > PROBE_HINT_AGE_US);
+        let should_probe = |(_, view): &(usize, &TargetView)| {
             view.remote_cost_percent == 0 && view.is_eligible(now_us) && is_old(view)
         };
-        let stale = self.targets.iter().enumerate().filter(should_query).collect::<Vec<_>>();
+        let stale = self.targets.iter().enumerate().filter(should_probe).collect::<Vec<_>>();
         let sample = stale.sample(&mut self.rng, count);
         sample
             .map(|(index, view)| QueryTarget {
@@ -368,16 +368,18 @@
             .collect()
     }
 
-    /// The index of the live target with the oldest hint among those whose host `is_reached`; `None` when no hint is
-    /// at least `age_min_us` old. A target without a hint counts as oldest, and ties are broken at random.
+    /// The index of the live target with the oldest hint among those for whose host `has_connection` is true; `None`
+    /// when no hint is at least `age_min_us` old. A target without a hint counts as oldest, and ties are broken at
+    /// random.
     pub fn stalest(
         &mut self,
         now_us: u64,
         age_min_us: u64,
-        is_reached: impl Fn(&str) -> bool,
+        has_connection: impl Fn(&str) -> bool,
     ) -> Option<usize> {
         let age = |view: &TargetView| view.hint(now_us).map_or(u64::MAX, |(_, age_us)| age_us);
-        let live = self.targets.iter().enumerate().filter(|(_, view)| view.is_live && is_reached(&view.host));
+        let live =
+            self.targets.iter().enumerate().filter(|(_, view)| view.is_live && has_connection(&view.host));
         let due = live.map(|(index, view)| (index, age(view))).filter(|(_, age)| *age >= age_min_us);
         let due = due.collect::<Vec<_>>();
         let oldest = due.iter().map(|(_, age)| *age).max()?;
@@ -386,7 +388,7 @@
     }
 
     /// Time in ms after which the caller of a call that no target can take should retry: when the first ejected,
-    /// absent or draining target may be called again, or else after a few mean service times.
+    /// skipped or draining target may be called again, or else after a few mean service times.
     pub fn retry_after_ms(&self, now_us: u64) -> u64 {
         let live = self.targets.iter().filter(|view| view.is_live);
         let eligible_in_us = live.map(|view| view.eligible_from_us(now_us).saturating_sub(now_us)).min();
@@ -402,7 +404,7 @@
         &self.targets
     }
 
-    /// The limits in force.
+    /// The current limits.
     pub fn limits(&self) -> &ServiceLimits {
         &self.limits
     }
@@ -421,7 +423,7 @@
     }
 }
 
-/// A target whose load should be queried before a call is placed.
+/// A target that should be probed for its load before a call is placed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueryTarget {
     /// The target's index in the service's list.
--- a/crates/laurelstall_balance/src/service_balancer/budgets.rs
+++ b/crates/laurelstall_balance/src/service_balancer/budgets.rs
@@ -32,21 +32,21 @@
 
     /// Records a call to the service before its first attempt.
     ///
-    /// `importance` is that of the request that the call is made for. `is_repeat` tells whether the caller itself is a
-    /// repeated run of a request: its call then repeats one that the first run already made, so it is charged to the
-    /// retry budget.
-    pub fn note_call(&mut self, importance: u8, is_repeat: bool, now_us: u64) {
+    /// `importance` is that of the request that the call is made for. `is_parent_retry` tells whether the run that
+    /// makes this call is itself a repetition of a request: the call then repeats one that the first run already made,
+    /// so it is charged to the retry budget.
+    pub fn note_call(&mut self, importance: u8, is_parent_retry: bool, now_us: u64) {
         self.importance_tracker.note(importance, now_us);
         self.retries.note_call(now_us);
         self.hedges.note_call(now_us);
         self.reroutes.note_call(now_us);
         self.reroutes.deposit(now_us);
-        if is_repeat {
+        if is_parent_retry {
             self.retries.charge(now_us);
         }
     }
 
-    /// Adds to the retry budget for a call whose first attempt was rejected by a target.
+    /// Adds to the retry budget for a call whose first attempt a target refused without running it.
     ///
     /// The call did not run, so another target may well serve it; without this, the budget would be empty when retries
     /// help most. A run that failed adds nothing: it may fail everywhere, and each run makes its own calls again.
@@ -54,14 +54,16 @@
         self.retries.deposit(now_us);
     }
 
-    /// Withdraws a retry for a call of this importance, one of whose attempts reached a target.
+    /// Withdraws a retry for a call of this importance, one of whose attempts reached a target. Returns whether the
+    /// budget grants it.
     pub fn may_retry(&mut self, importance: u8, now_us: u64) -> bool {
         let class = self.importance_tracker.class_of(importance, now_us);
         let draw = self.rng.random::<f64>();
         self.retries.try_withdraw(class, draw, now_us)
     }
 
-    /// Withdraws a reroute for a call that a guard refused because it has no free slot.
+    /// Withdraws a reroute for a call that a guard refused because it has no free slot. Returns whether the budget
+    /// grants it.
     ///
     /// No target received the call, so it is not charged to the retry budget. It has a budget of its own, because in
     /// an overload the other guards are full as well, and reroutes cost traffic between data centres.
@@ -70,7 +72,8 @@
         self.reroutes.try_withdraw(BudgetClass::MostImportant, draw, now_us)
     }
 
-    /// Withdraws a hedge; refused while the service as a whole is queueing.
+    /// Withdraws a hedge and returns whether the budget grants it. None is granted while the service as a whole is
+    /// queueing.
     pub fn may_hedge(&mut self, now_us: u64) -> bool {
         let draw = self.rng.random::<f64>();
         !self.is_queueing(now_us) && self.hedges.try_withdraw(BudgetClass::MostImportant, draw, now_us)
--- a/crates/laurelstall_balance/src/service_balancer/outlier_ejection.rs
+++ b/crates/laurelstall_balance/src/service_balancer/outlier_ejection.rs
@@ -40,7 +40,7 @@
             return None;
         }
         let is_slow = self.is_slow(index);
-        let slow_us = self.targets[index].note_slow(is_slow, now_us);
+        let slow_us = self.targets[index].update_slow_since(is_slow, now_us);
         if !self.is_failing(index, now_us) && slow_us < EJECTION_SLOW_US {
             self.note_recovery(index, now_us);
             return None;
--- a/crates/laurelstall_balance/src/target_view.rs
+++ b/crates/laurelstall_balance/src/target_view.rs
@@ -24,8 +24,8 @@
 /// it could report that it is back. An attempt that comes too early costs one refusal a second.
 const DRAINING_AGE_MAX_US: u64 = 1_000_000;
 
-/// Time in µs for which a target counts as absent when its guard has another target and cannot tell for how long. The
-/// target lists of two nodes differ for less than that.
+/// Time in µs for which a target is skipped when its guard has another target and cannot tell for how long. The target
+/// lists of two nodes differ for less than that.
 const ABSENT_US: u64 = 1_000_000;
 /// Upper bound in µs for the absence that a guard reports. It is longer than the guard's own retry pauses.
 const ABSENT_MAX_US: u64 = 5_000_000;
@@ -51,8 +51,9 @@
     pub is_live: bool,
     /// Outlier ejection and slow start of the target.
     pub ejection: Ejection,
-    /// Time in µs until which its guard reported that it has no target of this name.
-    absent_until_us: u64,
+    /// Time in µs until which no calls are sent: its guard has no target of this name, or its cold-start limit is used
+    /// up.
+    skipped_until_us: u64,
     hint: Option<(Hint, u64)>,
     in_flight: u32,
     in_flight_at_hint: u32,
@@ -76,7 +77,7 @@
             data_centre: String::new(),
             is_live: true,
             ejection: Ejection::new(now_us),
-            absent_until_us: 0,
+            skipped_until_us: 0,
             hint: None,
             in_flight: 0,
             in_flight_at_hint: 0,
@@ -176,8 +177,8 @@
         self.samples = 0;
     }
 
-    /// Records whether the target is slow compared with the others and returns for how long it has been, in µs.
-    pub fn note_slow(&mut self, is_slow: bool, now_us: u64) -> u64 {
+    /// Records whether the target is slow compared with the others, and returns for how many µs it has been slow.
+    pub fn update_slow_since(&mut self, is_slow: bool, now_us: u64) -> u64 {
         if !is_slow {
             self.slow_since_us = None;
             return 0;
@@ -195,7 +196,7 @@
     pub fn eligible_from_us(&self, now_us: u64) -> u64 {
         let drained_us = self.hint(now_us).filter(|_| self.is_draining(now_us));
         let drained_us = drained_us.map_or(0, |(_, age_us)| now_us - age_us + DRAINING_AGE_MAX_US + 1);
-        drained_us.max(self.absent_until_us).max(self.ejection.until_us())
+        drained_us.max(self.skipped_until_us).max(self.ejection.until_us())
     }
 
     /// Whether its guard reported recently that the target drains.
@@ -204,13 +205,13 @@
         hint.is_some_and(|(hint, _)| hint.state == TargetState::Draining)
     }
 
-    /// Records that the target's guard has no target of this name and expects none for `wait_us`, or for an unknown
-    /// time if `wait_us` is 0.
+    /// Excludes the target from new calls for `wait_us`, or for a default time if `wait_us` is 0.
     ///
-    /// The view ends when a new list has another target. Until then, a call is sent again when the time is over.
-    pub fn note_absent(&mut self, wait_us: u64, now_us: u64) {
+    /// The view is removed when a new target list no longer has the target. Until then, calls are tried again after the
+    /// wait.
+    pub fn skip_for(&mut self, wait_us: u64, now_us: u64) {
         let wait_us = if wait_us == 0 { ABSENT_US } else { wait_us.min(ABSENT_MAX_US) };
-        self.absent_until_us = now_us + wait_us;
+        self.skipped_until_us = now_us + wait_us;
     }
 
     /// Records that a guard refused a call because the target drains.
--- a/crates/laurelstall_balance/tests/placing.rs
+++ b/crates/laurelstall_balance/tests/placing.rs
@@ -102,13 +102,13 @@
     entries: Vec<ServiceBalancer>,
     targets: Vec<Target>,
     ends: BinaryHeap<Reverse<End>>,
-    /// Number of targets that an entry node queries before a call.
-    queries: usize,
+    /// Number of targets that an entry node probes before a call.
+    probes: usize,
     result: Outcome,
 }
 
 impl Fleet {
-    fn new(queries: usize, seed: u64) -> Self {
+    fn new(probes: usize, seed: u64) -> Self {
         let targets =
             (0..TARGETS).map(|n| Target { running: 0, waiting: VecDeque::new(), phase: n as u64 * 7_919 });
         let entry = |n: usize| {
@@ -130,21 +130,21 @@
             entries: (0..ENTRIES).map(entry).collect(),
             targets: targets.collect(),
             ends: BinaryHeap::new(),
-            queries,
+            probes,
             result: Outcome::default(),
         }
     }
 
-    /// Queries the load of a few targets, as a node does before it chooses one.
-    fn query(&mut self, entry: usize, now_us: u64) {
-        for queried in self.entries[entry].targets_to_query(self.queries, now_us) {
-            let hint = self.targets[queried.index].hint(now_us, self.seed);
-            self.entries[entry].update_hint(queried.index, &queried.name, hint, now_us);
+    /// Probes the load of a few targets, as a node does before it chooses one.
+    fn probe(&mut self, entry: usize, now_us: u64) {
+        for probed in self.entries[entry].targets_to_query(self.probes, now_us) {
+            let hint = self.targets[probed.index].hint(now_us, self.seed);
+            self.entries[entry].update_hint(probed.index, &probed.name, hint, now_us);
         }
     }
 
     fn call(&mut self, entry: usize, arrived_us: u64) {
-        self.query(entry, arrived_us);
+        self.probe(entry, arrived_us);
         let counts = arrived_us >= WARM_UP_US;
         self.result.calls += u32::from(counts);
         let mut excluded = Vec::new();
@@ -222,9 +222,9 @@
 }
 
 /// Simulates calls at `load` times the capacity of the targets at normal speed. `shares` has the weight of each data
-/// centre in the arrivals, and an entry node makes `queries` before each call.
-fn simulate(load: f64, queries: usize, shares: [f64; DATA_CENTRES], seed: u64) -> Outcome {
-    let mut fleet = Fleet::new(queries, seed);
+/// centre in the arrivals, and an entry node probes `probes` targets before each call.
+fn simulate(load: f64, probes: usize, shares: [f64; DATA_CENTRES], seed: u64) -> Outcome {
+    let mut fleet = Fleet::new(probes, seed);
     let per_s = load * TARGETS as f64 * f64::from(LIMIT) * SECOND_US as f64 / RUN_US as f64;
     let mut now_us = 0.0;
     while now_us < (SIMULATED_S * SECOND_US) as f64 {
@@ -257,16 +257,16 @@
 }
 
 #[test]
-fn at_high_load_queries_before_calls_avoid_busy_targets() {
+fn at_high_load_probes_before_calls_avoid_busy_targets() {
     let without = mean(|seed| simulate(0.6, 0, EVEN, seed).share_in_time());
-    let queried = mean(|seed| simulate(0.6, 2, EVEN, seed).share_in_time());
-    println!("share in time: {without:.3} without queries, {queried:.3} with two");
-    assert!(queried > 0.93, "{queried}");
-    assert!(queried > without + 0.05, "{queried} with queries, {without} without");
+    let probed = mean(|seed| simulate(0.6, 2, EVEN, seed).share_in_time());
+    println!("share in time: {without:.3} without probes, {probed:.3} with two");
+    assert!(probed > 0.93, "{probed}");
+    assert!(probed > without + 0.05, "{probed} with probes, {without} without");
 }
 
 #[test]
-fn at_low_load_no_target_is_queried() {
+fn at_low_load_no_target_is_probed() {
     let mut fleet = Fleet::new(2, 3);
     for step in 0..1_000 {
         let now_us = step * 1_000;
--- a/crates/laurelstall_balance/tests/retry_budget.rs
+++ b/crates/laurelstall_balance/tests/retry_budget.rs
@@ -90,13 +90,13 @@
 
 #[test]
 fn calls_of_a_repeated_run_are_charged_to_the_retry_budget() {
-    let granted_after = |is_repeat: bool| {
+    let granted_after = |is_parent_retry: bool| {
         let mut balancer = entries().remove(0);
         for at_s in 0..20 {
             play_second(&mut balancer, at_s, true);
         }
         let now_us = 20 * SECOND_US;
-        (0..4).for_each(|_| balancer.note_call(IMPORTANCE, is_repeat, now_us));
+        (0..4).for_each(|_| balancer.note_call(IMPORTANCE, is_parent_retry, now_us));
         (0..20).filter(|_| balancer.may_retry(IMPORTANCE, now_us)).count()
     };
     assert!(granted_after(false) > 0);
--- a/crates/laurelstall_crash/src/crash_record.rs
+++ b/crates/laurelstall_crash/src/crash_record.rs
@@ -7,7 +7,7 @@
 ///
 /// A frequent harmless request is running at any target that crashes, but it has also just succeeded elsewhere. A
 /// request that crashes every target it runs on has no successful run.
-pub const SUCCESS_SHIELD_US: i64 = 2_000_000;
+pub const IGNORED_AFTER_SUCCESS_US: i64 = 2_000_000;
 /// Largest number of crashes that are kept for one request; older ones are dropped.
 const CRASHES_MAX: usize = 16;
 /// Pause in µs between two crashes that separates two bursts. Within a burst, requests that were in flight when the
@@ -107,11 +107,11 @@
     }
 
     /// The crashes that count against the request, earliest first: those after its last release and more than
-    /// [`SUCCESS_SHIELD_US`] after its last successful run.
+    /// [`IGNORED_AFTER_SUCCESS_US`] after its last successful run.
     pub fn counted_crashes(&self) -> &[TargetCrash] {
-        let shielded_us = self.success_us.map_or(i64::MIN, |at_us| at_us + SUCCESS_SHIELD_US);
+        let counted_after_us = self.success_us.map_or(i64::MIN, |at_us| at_us + IGNORED_AFTER_SUCCESS_US);
         let released_us = self.release_us.unwrap_or(i64::MIN);
-        let from_us = shielded_us.max(released_us);
+        let from_us = counted_after_us.max(released_us);
         let first = self.crashes.partition_point(|crash| crash.at_us <= from_us);
         &self.crashes[first..]
     }
--- a/crates/laurelstall_crash/src/crash_table.rs
+++ b/crates/laurelstall_crash/src/crash_table.rs
@@ -33,7 +33,7 @@
 /// Retry-after time in ms of a request whose quarantine has no end.
 const UNLIMITED_RETRY_AFTER_MS: u64 = 86_400_000;
 
-/// Whether a request is suspected or quarantined.
+/// Whether a request is harmless, suspected of crashing targets, or quarantined for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineStatus {
     /// No crash counts against the request.
@@ -101,10 +101,11 @@
         record.is_some_and(|record| !record.counted_crashes().is_empty() && record.add_success(now_us))
     }
 
-    /// Releases a request for an operator: its crashes so far no longer count, but further ones do.
-    /// Returns `None` when no crash counts against it.
-    pub fn release(&mut self, whole: u64, now_us: i64) -> Option<RequestDigest> {
-        let record = self.records.get_mut(&whole).filter(|record| !record.counted_crashes().is_empty())?;
+    /// Releases the request with this [`RequestDigest::whole`] for an operator: its crashes so far no longer count, but
+    /// further ones do. Returns `None` when no crash counts against it.
+    pub fn release(&mut self, digest_hash: u64, now_us: i64) -> Option<RequestDigest> {
+        let record =
+            self.records.get_mut(&digest_hash).filter(|record| !record.counted_crashes().is_empty())?;
         record.add_release(now_us);
         Some(record.digest)
     }
@@ -136,11 +137,12 @@
         self.records.values().map(|record| record.report(now_us)).collect()
     }
 
-    /// A hash of all records. Two nodes compare it to detect that one of them knows more.
+    /// A hash of the digests and crash ids of all records and of how many of the crashes count. Two nodes compare it to
+    /// detect that one of them knows more.
     pub fn hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
-        for (whole, record) in &self.records {
-            hasher.update(&whole.to_le_bytes());
+        for (digest_hash, record) in &self.records {
+            hasher.update(&digest_hash.to_le_bytes());
             hasher.update(&[record.counted_crashes().len() as u8]);
             for id in record.crash_ids() {
                 hasher.update(&id.to_le_bytes());
@@ -181,9 +183,9 @@
     }
 
     /// Adds a remembered successful run to the record of a request and returns whether it is new there.
-    fn apply_remembered_success(&mut self, whole: u64) -> bool {
-        let Some(at_us) = self.successful_runs.last_us(whole) else { return false };
-        let record = self.records.get_mut(&whole);
+    fn apply_remembered_success(&mut self, digest_hash: u64) -> bool {
+        let Some(at_us) = self.successful_runs.last_us(digest_hash) else { return false };
+        let record = self.records.get_mut(&digest_hash);
         record.is_some_and(|record| !record.counted_crashes().is_empty() && record.add_success(at_us))
     }
 
@@ -207,8 +209,7 @@
         }
     }
 
-    /// Whether a request has enough crashes and is among the first of its service, of which only so many are
-    /// quarantined.
+    /// Whether a request has enough crashes and is among the [`QUARANTINED_MAX`] of its service that rank highest.
     fn is_quarantined(&self, record: &CrashRecord) -> bool {
         let Some(own) = quarantine_rank(record) else { return false };
         let others = self.records.values().filter(|other| other.service == record.service);
@@ -226,7 +227,7 @@
                 (record.counted_crashes().len(), Reverse(record.last_crash_age_us(now_us)))
             };
             let weakest = self.records.iter().min_by_key(|(_, record)| strength(record));
-            let Some(weakest) = weakest.map(|(whole, _)| *whole) else { return };
+            let Some(weakest) = weakest.map(|(digest_hash, _)| *digest_hash) else { return };
             self.records.remove(&weakest);
         }
     }
--- a/crates/laurelstall_crash/src/run_tracker.rs
+++ b/crates/laurelstall_crash/src/run_tracker.rs
@@ -19,8 +19,8 @@
     Running,
     /// The connection broke, and a check is running whether the target is alive.
     Broken { at_us: u64 },
-    /// Nobody waits for the answer any more, or the check of the target had no result.
-    Abandoned { at_us: u64 },
+    /// The run has no answer to expect, and the target may still run it.
+    Lost { at_us: u64 },
 }
 
 #[derive(Debug)]
@@ -87,7 +87,7 @@
     /// Records that nobody waits for the answer of the run any more.
     pub fn note_abandoned(&mut self, id: RunId, now_us: u64) {
         if let Some(run) = self.runs.get_mut(&id) {
-            run.state = RunState::Abandoned { at_us: now_us };
+            run.state = RunState::Lost { at_us: now_us };
         }
     }
 
@@ -108,7 +108,7 @@
     /// still count for a crash that is detected shortly after.
     pub fn note_unknown(&mut self, now_us: u64) {
         for run in self.runs.values_mut().filter(|run| run.is_broken()) {
-            run.state = RunState::Abandoned { at_us: now_us };
+            run.state = RunState::Lost { at_us: now_us };
         }
     }
 
@@ -150,7 +150,7 @@
 
     fn forget_lost(&mut self, now_us: u64) {
         self.runs.retain(|_, run| match run.state {
-            RunState::Abandoned { at_us } | RunState::Broken { at_us } => now_us < at_us + LOST_GRACE_US,
+            RunState::Lost { at_us } | RunState::Broken { at_us } => now_us < at_us + LOST_GRACE_US,
             RunState::Running => true,
         });
     }
--- a/crates/laurelstall_workspace/examples/quota_ways.rs
+++ b/crates/laurelstall_workspace/examples/quota_ways.rs
@@ -138,7 +138,7 @@
             shares: 1,
             per_s: split.per_s * parts,
             size: split.size * parts,
-            start: split.start * parts,
+            initial_tokens: split.initial_tokens * parts,
         }
     }
 
@@ -162,22 +162,22 @@
         let order = &mut self.orders[node][workspace];
         order.set_fleet(&self.fleet, &name, split.shares, &data_centre);
         let mut waited_us = 0;
-        for state in order.owners_to_ask(now_us) {
-            let owner = state.host.strip_prefix("host-").and_then(|index| index.parse::<usize>().ok());
+        for share_owner in order.owners_to_ask(now_us) {
+            let owner = share_owner.host.strip_prefix("host-").and_then(|index| index.parse::<usize>().ok());
             let Some(owner) = owner else { continue };
             let is_own = owner == node;
             self.outcome.messages += if is_own { 0 } else { 2 };
             if owner == self.lost && now_us >= LOST_US {
                 waited_us += TIMEOUT_US;
-                order.note_unreachable(state.share, now_us);
+                order.note_unreachable(share_owner.share, now_us);
                 continue;
             }
             waited_us += if is_own { 0 } else { ROUND_TRIP_US };
-            let key = ShareKey { workspace: name.clone(), share: state.share };
+            let key = ShareKey { workspace: name.clone(), share: share_owner.share };
             match self.owned[owner].take(&key, &split, 1, now_us) {
                 Some(grant) if grant.tokens > 0 => return (true, waited_us),
-                Some(grant) => order.note_empty(state.share, grant.retry_after_us, now_us),
-                None => order.note_unreachable(state.share, now_us),
+                Some(grant) => order.note_empty(share_owner.share, grant.retry_after_us, now_us),
+                None => order.note_unreachable(share_owner.share, now_us),
             }
         }
         (false, waited_us)
--- a/crates/laurelstall_workspace/src/owned_shares.rs
+++ b/crates/laurelstall_workspace/src/owned_shares.rs
@@ -39,7 +39,7 @@
 /// The token buckets of the shares that a node owns.
 #[derive(Debug)]
 pub struct OwnedShares {
-    owners: ShareOwnership,
+    ownership: ShareOwnership,
     shares: HashMap<ShareKey, OwnedShare>,
     swept_at_us: u64,
 }
@@ -47,26 +47,26 @@
 impl OwnedShares {
     /// Creates the state of the node of `host`, which starts now.
     pub fn new(host: &str, now_us: u64) -> Self {
-        Self { owners: ShareOwnership::new(host, now_us), shares: HashMap::new(), swept_at_us: now_us }
+        Self { ownership: ShareOwnership::new(host, now_us), shares: HashMap::new(), swept_at_us: now_us }
     }
 
     /// Sets the current list of hosts.
     pub fn set_fleet(&mut self, fleet: &Arc<Fleet>, now_us: u64) {
-        self.owners.set_fleet(fleet, now_us);
+        self.ownership.set_fleet(fleet, now_us);
     }
 
     /// Grants up to `wanted` tokens of a share; `None` when this node may not grant any, because another one may own
     /// it.
     pub fn take(&mut self, key: &ShareKey, split: &QuotaSplit, wanted: u32, now_us: u64) -> Option<Grant> {
-        if !self.owners.may_grant(&key.workspace, key.share, now_us) {
+        if !self.ownership.may_grant(&key.workspace, key.share, now_us) {
             self.shares.remove(key);
             return None;
         }
         self.remove_lost_shares(now_us);
-        let since_us = self.owners.owned_since_us().min(now_us);
+        let since_us = self.ownership.owned_since_us().min(now_us);
         let share = self.shares.entry(key.clone()).or_insert_with(|| OwnedShare {
             // The previous owner may have granted tokens until that time.
-            bucket: TokenBucket::new(split.per_s, split.size, split.start, since_us),
+            bucket: TokenBucket::new(split.per_s, split.size, split.initial_tokens, since_us),
             reserved_until_us: 0,
         });
         share.bucket.set_rate(split.per_s, split.size, now_us);
@@ -92,8 +92,8 @@
             return;
         }
         self.swept_at_us = now_us;
-        let owners = &self.owners;
-        self.shares.retain(|key, _| owners.may_grant(&key.workspace, key.share, now_us));
+        let ownership = &self.ownership;
+        self.shares.retain(|key, _| ownership.may_grant(&key.workspace, key.share, now_us));
     }
 }
 
--- a/crates/laurelstall_workspace/src/quota_split.rs
+++ b/crates/laurelstall_workspace/src/quota_split.rs
@@ -9,11 +9,8 @@
 const SHARE_CALLS_MIN: f64 = 4.0;
 /// Part of the allowed overrun that enlarges the burst, so that a workspace below its quota over a window is not
 /// refused for uneven arrivals.
-///
-/// The rest covers owners that restart and do not know which tokens were granted, and shares with two owners while a
-/// new list of hosts spreads.
 const BURST_PART: f64 = 0.5;
-/// Number of restarts of one owner in a window that the rest covers.
+/// Number of restarts of one owner in a window that the rest of the allowed overrun covers.
 const RESTARTS: f64 = 3.0;
 
 /// The parameters of a quota's shares, which are all equal.
@@ -26,11 +23,15 @@
     /// Bucket size of each share in tokens.
     pub size: f64,
     /// Number of tokens in the bucket of a share when its owner starts.
-    pub start: f64,
+    pub initial_tokens: f64,
 }
 
 impl QuotaSplit {
     /// Splits a quota; `bounds` tell by how much it may be exceeded.
+    ///
+    /// The allowed overrun is divided: `BURST_PART` enlarges the burst; the rest is the initial tokens of an owner that
+    /// may restart `RESTARTS` times in a window without knowing which tokens were granted. It also covers shares with
+    /// two owners while a new list of hosts spreads.
     pub fn new(quota: &Quota, bounds: &QuotaBounds) -> Self {
         let calls = quota.calls_per_s + quota.burst;
         let shares = (calls / SHARE_CALLS_MIN).clamp(1.0, f64::from(SHARES_MAX)) as u8;
@@ -39,7 +40,7 @@
         let overrun = window_calls * bounds.overrun + bounds.slack;
         // A bucket smaller than one token would never grant one.
         let size = ((quota.burst + overrun * BURST_PART) / parts).max(1.0);
-        let start = (overrun * (1.0 - BURST_PART) / RESTARTS / parts).min(size);
-        Self { shares, per_s: quota.calls_per_s / parts, size, start }
+        let initial_tokens = (overrun * (1.0 - BURST_PART) / RESTARTS / parts).min(size);
+        Self { shares, per_s: quota.calls_per_s / parts, size, initial_tokens }
     }
 }
--- a/crates/laurelstall_workspace/tests/quotas.rs
+++ b/crates/laurelstall_workspace/tests/quotas.rs
@@ -137,7 +137,7 @@
     let listed = order.owners_to_ask(BEGIN_US);
     assert_eq!(listed.len(), 3);
     order.note_unreachable(0, BEGIN_US);
-    assert!(order.owners_to_ask(BEGIN_US).iter().all(|state| state.share != 0));
+    assert!(order.owners_to_ask(BEGIN_US).iter().all(|owner| owner.share != 0));
     order.note_empty(1, 50_000, BEGIN_US);
     order.note_empty(2, 20_000, BEGIN_US);
     assert!(
