--- a/crates/laurelstall_balance/src/baseline.rs
+++ b/crates/laurelstall_balance/src/baseline.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use std::{fmt, sync::Arc};
 
-/// Interval in µs in which [`LeastStale`] reads the loads.
+/// Interval in µs in which [`StaleLeastLoaded`] reads the loads.
 pub const REPORT_INTERVAL_US: u64 = 100_000;
 
 /// Chooses a target uniformly at random.
@@ -75,13 +75,13 @@
 }
 
 /// Chooses the least loaded target by loads that are up to [`REPORT_INTERVAL_US`] old.
-pub struct LeastStale {
+pub struct StaleLeastLoaded {
     loads: Arc<dyn TrueLoads>,
     reports: Vec<(String, f64)>,
     taken_at_us: Option<u64>,
 }
 
-impl LeastStale {
+impl StaleLeastLoaded {
     /// Creates a chooser that reads `loads` once per interval.
     pub fn new(loads: Arc<dyn TrueLoads>) -> Self {
         Self { loads, reports: Vec::new(), taken_at_us: None }
@@ -93,7 +93,7 @@
     }
 }
 
-impl Chooser for LeastStale {
+impl Chooser for StaleLeastLoaded {
     fn name(&self) -> &'static str {
         "least_stale"
     }
@@ -146,7 +146,7 @@
     }
 }
 
-impl fmt::Debug for LeastStale {
+impl fmt::Debug for StaleLeastLoaded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("LeastStale").field("reports", &self.reports).finish_non_exhaustive()
     }
--- a/crates/laurelstall_balance/src/chooser.rs
+++ b/crates/laurelstall_balance/src/chooser.rs
@@ -43,7 +43,7 @@
     pub reason: Reason,
     /// Expected cost in µs: time plus the penalties for a late answer and a remote data centre. 0 when the algorithm
     /// computes none.
-    pub score_us: f64,
+    pub cost_us: f64,
     /// Index and expected cost in µs of the second best target, if any was compared.
     pub runner_up: Option<(usize, f64)>,
 }
@@ -51,7 +51,7 @@
 impl Choice {
     /// Creates the choice of an algorithm that computes no costs.
     pub fn without_cost(index: usize) -> Self {
-        Self { index, reason: Reason::Baseline, score_us: 0.0, runner_up: None }
+        Self { index, reason: Reason::Baseline, cost_us: 0.0, runner_up: None }
     }
 }
 
--- a/crates/laurelstall_balance/src/least_cost.rs
+++ b/crates/laurelstall_balance/src/least_cost.rs
@@ -94,9 +94,9 @@
                 _ => runner_up = best.replace((candidate.index, cost_us)),
             }
         }
-        let (index, score_us) = best?;
+        let (index, cost_us) = best?;
         let reason = if candidates.len() == 1 { Reason::Only } else { Reason::LeastCost };
-        Some(Choice { index, reason, score_us, runner_up: runner_up.filter(|(other, _)| *other != index) })
+        Some(Choice { index, reason, cost_us, runner_up: runner_up.filter(|(other, _)| *other != index) })
     }
 
     fn is_baseline(&self) -> bool {
--- a/crates/laurelstall_balance/src/service_balancer.rs
+++ b/crates/laurelstall_balance/src/service_balancer.rs
@@ -286,7 +286,7 @@
     }
 
     /// Records that a guard refused a call because its target is slow now: it takes `percent` of its normal time.
-    pub fn note_slow(&mut self, index: usize, name: &str, percent: u32, now_us: u64) {
+    pub fn note_slow_refusal(&mut self, index: usize, name: &str, percent: u32, now_us: u64) {
         let Some(index) = self.index_of(index, name) else { return };
         self.targets[index].note_slowness(percent, self.mean_us, now_us);
     }
@@ -348,7 +348,7 @@
     ///
     /// An entry node that sends a service few calls has hints that are seconds old, and without probes it sends calls
     /// to busy targets.
-    pub fn targets_to_query(&mut self, count: usize, now_us: u64) -> Vec<QueryTarget> {
+    pub fn targets_to_probe(&mut self, count: usize, now_us: u64) -> Vec<ProbeTarget> {
         if self.spillover.local_load() < PROBE_LOAD_MIN {
             return Vec::new();
         }
@@ -360,7 +360,7 @@
         let stale = self.targets.iter().enumerate().filter(should_probe).collect::<Vec<_>>();
         let sample = stale.sample(&mut self.rng, count);
         sample
-            .map(|(index, view)| QueryTarget {
+            .map(|(index, view)| ProbeTarget {
                 index: *index,
                 name: view.name.clone(),
                 host: view.host.clone(),
@@ -371,7 +371,7 @@
     /// The index of the live target with the oldest hint among those for whose host `has_connection` is true; `None`
     /// when no hint is at least `age_min_us` old. A target without a hint counts as oldest, and ties are broken at
     /// random.
-    pub fn stalest(
+    pub fn target_with_oldest_hint(
         &mut self,
         now_us: u64,
         age_min_us: u64,
@@ -425,7 +425,7 @@
 
 /// A target that should be probed for its load before a call is placed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct QueryTarget {
+pub struct ProbeTarget {
     /// The target's index in the service's list.
     pub index: usize,
     /// The target's name.
--- a/crates/laurelstall_balance/src/service_balancer/budgets.rs
+++ b/crates/laurelstall_balance/src/service_balancer/budgets.rs
@@ -50,13 +50,13 @@
     ///
     /// The call did not run, so another target may well serve it; without this, the budget would be empty when retries
     /// help most. A run that failed adds nothing: it may fail everywhere, and each run makes its own calls again.
-    pub fn note_rejected(&mut self, now_us: u64) {
+    pub fn note_refused_by_target(&mut self, now_us: u64) {
         self.retries.deposit(now_us);
     }
 
     /// Withdraws a retry for a call of this importance, one of whose attempts reached a target. Returns whether the
     /// budget grants it.
-    pub fn may_retry(&mut self, importance: u8, now_us: u64) -> bool {
+    pub fn try_withdraw_retry(&mut self, importance: u8, now_us: u64) -> bool {
         let class = self.importance_tracker.class_of(importance, now_us);
         let draw = self.rng.random::<f64>();
         self.retries.try_withdraw(class, draw, now_us)
@@ -67,14 +67,14 @@
     ///
     /// No target received the call, so it is not charged to the retry budget. It has a budget of its own, because in
     /// an overload the other guards are full as well, and reroutes cost traffic between data centres.
-    pub fn may_reroute(&mut self, now_us: u64) -> bool {
+    pub fn try_withdraw_reroute(&mut self, now_us: u64) -> bool {
         let draw = self.rng.random::<f64>();
         self.reroutes.try_withdraw(BudgetClass::MostImportant, draw, now_us)
     }
 
     /// Withdraws a hedge and returns whether the budget grants it. None is granted while the service as a whole is
     /// queueing.
-    pub fn may_hedge(&mut self, now_us: u64) -> bool {
+    pub fn try_withdraw_hedge(&mut self, now_us: u64) -> bool {
         let draw = self.rng.random::<f64>();
         !self.is_queueing(now_us) && self.hedges.try_withdraw(BudgetClass::MostImportant, draw, now_us)
     }
--- a/crates/laurelstall_balance/tests/decisions.rs
+++ b/crates/laurelstall_balance/tests/decisions.rs
@@ -171,11 +171,11 @@
         balancer.note_sent(0);
         balancer.note_result(0, "t-0", 0, AttemptResult::Succeeded(1_000), START_US);
     }
-    assert!(balancer.may_hedge(START_US));
+    assert!(balancer.try_withdraw_hedge(START_US));
     for index in 0..3 {
         balancer.update_hint(index, &format!("t-{index}"), hint(12, 12), START_US);
     }
-    assert!(!balancer.may_hedge(START_US));
+    assert!(!balancer.try_withdraw_hedge(START_US));
 }
 
 #[test]
--- a/crates/laurelstall_balance/tests/placing.rs
+++ b/crates/laurelstall_balance/tests/placing.rs
@@ -137,7 +137,7 @@
 
     /// Probes the load of a few targets, as a node does before it chooses one.
     fn probe(&mut self, entry: usize, now_us: u64) {
-        for probed in self.entries[entry].targets_to_query(self.probes, now_us) {
+        for probed in self.entries[entry].targets_to_probe(self.probes, now_us) {
             let hint = self.targets[probed.index].hint(now_us, self.seed);
             self.entries[entry].update_hint(probed.index, &probed.name, hint, now_us);
         }
@@ -171,7 +171,7 @@
             let slow_from = self.entries[entry].slow_from_percent(now_us);
             if hint.slowness_percent >= slow_from && !slow.contains(&target) {
                 slow.push(target);
-                self.entries[entry].note_slow(target, &name, hint.slowness_percent, now_us);
+                self.entries[entry].note_slow_refusal(target, &name, hint.slowness_percent, now_us);
                 continue;
             }
             let run_us = RUN_US * u64::from(hint.slowness_percent) / 100;
@@ -271,7 +271,7 @@
     for step in 0..1_000 {
         let now_us = step * 1_000;
         fleet.end_until(now_us);
-        assert!(fleet.entries[0].targets_to_query(2, now_us).is_empty());
+        assert!(fleet.entries[0].targets_to_probe(2, now_us).is_empty());
         fleet.call(step as usize % ENTRIES, now_us);
     }
 }
--- a/crates/laurelstall_balance/tests/retry_budget.rs
+++ b/crates/laurelstall_balance/tests/retry_budget.rs
@@ -43,9 +43,9 @@
         if is_good {
             balancer.note_result(0, "t", 0, AttemptResult::Succeeded(1_000), now_us);
         } else {
-            balancer.note_rejected(now_us);
-            granted += u64::from(balancer.may_retry(IMPORTANCE, now_us))
-                + u64::from(balancer.may_retry(IMPORTANCE, now_us));
+            balancer.note_refused_by_target(now_us);
+            granted += u64::from(balancer.try_withdraw_retry(IMPORTANCE, now_us))
+                + u64::from(balancer.try_withdraw_retry(IMPORTANCE, now_us));
         }
     }
     granted
@@ -84,7 +84,7 @@
         }
     }
     let later_us = 80 * SECOND_US;
-    let granted = (0..20).filter(|_| balancer.may_retry(IMPORTANCE, later_us)).count();
+    let granted = (0..20).filter(|_| balancer.try_withdraw_retry(IMPORTANCE, later_us)).count();
     assert!(granted <= 1, "{granted} retries without a call in ten seconds");
 }
 
@@ -97,7 +97,7 @@
         }
         let now_us = 20 * SECOND_US;
         (0..4).for_each(|_| balancer.note_call(IMPORTANCE, is_parent_retry, now_us));
-        (0..20).filter(|_| balancer.may_retry(IMPORTANCE, now_us)).count()
+        (0..20).filter(|_| balancer.try_withdraw_retry(IMPORTANCE, now_us)).count()
     };
     assert!(granted_after(false) > 0);
     assert_eq!(granted_after(true), 0);
@@ -171,9 +171,9 @@
                 if is_accepted {
                     balancer.note_result(0, "t", 0, AttemptResult::Succeeded(1_000), now_us);
                 } else {
-                    balancer.note_rejected(now_us);
+                    balancer.note_refused_by_target(now_us);
                 }
-                if is_accepted || !balancer.may_retry(importance, now_us) {
+                if is_accepted || !balancer.try_withdraw_retry(importance, now_us) {
                     return is_accepted;
                 }
                 retries += 1;
--- a/crates/laurelstall_crash/src/crash_table.rs
+++ b/crates/laurelstall_crash/src/crash_table.rs
@@ -35,7 +35,7 @@
 
 /// Whether a request is harmless, suspected of crashing targets, or quarantined for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum QuarantineStatus {
+pub enum RequestStatus {
     /// No crash counts against the request.
     Harmless,
     /// The request was running at this many crashes, too few for a quarantine.
@@ -57,11 +57,11 @@
     /// Full name of the service whose targets crashed.
     pub service: String,
     /// Its current status.
-    pub quarantine_status: QuarantineStatus,
+    pub request_status: RequestStatus,
     /// The number of crashes that count against it.
-    pub ends: usize,
+    pub crashes: usize,
     /// The time since the last crash in ms.
-    pub last_end_age_ms: u64,
+    pub last_crash_age_ms: u64,
 }
 
 /// All requests of which one node knows that they were running when targets crashed.
@@ -152,10 +152,10 @@
     }
 
     /// The current status of a request.
-    pub fn quarantine_status(&self, digest: RequestDigest, now_us: i64) -> QuarantineStatus {
+    pub fn request_status(&self, digest: RequestDigest, now_us: i64) -> RequestStatus {
         self.records
             .get(&digest.whole)
-            .map_or(QuarantineStatus::Harmless, |record| self.status_of(record, now_us))
+            .map_or(RequestStatus::Harmless, |record| self.status_of(record, now_us))
     }
 
     /// Whether crashes count against a request with this head. The body of another request with this head must be read
@@ -170,9 +170,9 @@
         let state = |record: &CrashRecord| SuspectState {
             digest: record.digest,
             service: record.service.clone(),
-            quarantine_status: self.status_of(record, now_us),
-            ends: record.counted_crashes().len(),
-            last_end_age_ms: u64::try_from(record.last_crash_age_us(now_us).unwrap_or(0) / 1_000)
+            request_status: self.status_of(record, now_us),
+            crashes: record.counted_crashes().len(),
+            last_crash_age_ms: u64::try_from(record.last_crash_age_us(now_us).unwrap_or(0) / 1_000)
                 .unwrap_or(0),
         };
         suspects.map(state).collect()
@@ -189,23 +189,23 @@
         record.is_some_and(|record| !record.counted_crashes().is_empty() && record.add_success(at_us))
     }
 
-    fn status_of(&self, record: &CrashRecord, now_us: i64) -> QuarantineStatus {
+    fn status_of(&self, record: &CrashRecord, now_us: i64) -> RequestStatus {
         let crashes = record.counted_crashes().len();
         if crashes == 0 {
-            return QuarantineStatus::Harmless;
+            return RequestStatus::Harmless;
         }
         if !self.is_quarantined(record) {
-            return QuarantineStatus::Suspected(crashes);
+            return RequestStatus::Suspected(crashes);
         }
         let Some(quarantine_us) = QUARANTINE_US.get(record.crash_bursts().saturating_sub(1)) else {
-            return QuarantineStatus::Quarantined { retry_after_ms: UNLIMITED_RETRY_AFTER_MS };
+            return RequestStatus::Quarantined { retry_after_ms: UNLIMITED_RETRY_AFTER_MS };
         };
         let left_us = quarantine_us - record.last_crash_age_us(now_us).unwrap_or(0);
         match u64::try_from(left_us) {
             Ok(left_us) if left_us > 0 => {
-                QuarantineStatus::Quarantined { retry_after_ms: left_us.div_ceil(1_000) }
+                RequestStatus::Quarantined { retry_after_ms: left_us.div_ceil(1_000) }
             }
-            _ => QuarantineStatus::HalfOpen,
+            _ => RequestStatus::HalfOpen,
         }
     }
 
--- a/crates/laurelstall_crash/src/lib.rs
+++ b/crates/laurelstall_crash/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod prelude {
     pub use crate::{
         crash_record::{CrashRecord, CrashReport, TargetCrash},
-        crash_table::{CrashTable, QuarantineStatus, SuspectState},
+        crash_table::{CrashTable, RequestStatus, SuspectState},
         request_digest::{RequestDigest, RequestHead},
         run_tracker::{CrashedRuns, RunId, RunTracker},
     };
--- a/crates/laurelstall_crash/src/run_tracker.rs
+++ b/crates/laurelstall_crash/src/run_tracker.rs
@@ -106,7 +106,7 @@
 
     /// Records that the check after broken connections could not tell whether the target is alive. The broken runs
     /// still count for a crash that is detected shortly after.
-    pub fn note_unknown(&mut self, now_us: u64) {
+    pub fn note_check_inconclusive(&mut self, now_us: u64) {
         for run in self.runs.values_mut().filter(|run| run.is_broken()) {
             run.state = RunState::Lost { at_us: now_us };
         }
--- a/crates/laurelstall_crash/tests/blame_model.rs
+++ b/crates/laurelstall_crash/tests/blame_model.rs
@@ -6,7 +6,7 @@
 
 use laurelstall_crash::{
     crash_record::TargetCrash,
-    crash_table::{CrashTable, QuarantineStatus},
+    crash_table::{CrashTable, RequestStatus},
     request_digest::RequestDigest,
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -128,8 +128,8 @@
     }
 
     fn is_quarantined(&self, number: u64, now_ms: i64) -> bool {
-        let quarantine_status = self.table.quarantine_status(digest(number), now_ms * 1_000);
-        matches!(quarantine_status, QuarantineStatus::Quarantined { .. } | QuarantineStatus::HalfOpen)
+        let request_status = self.table.request_status(digest(number), now_ms * 1_000);
+        matches!(request_status, RequestStatus::Quarantined { .. } | RequestStatus::HalfOpen)
     }
 
     fn arrive(&mut self, number: u64, is_repeat: bool, run_ms: i64, now_ms: i64) {
--- a/crates/laurelstall_crash/tests/crash_table.rs
+++ b/crates/laurelstall_crash/tests/crash_table.rs
@@ -2,7 +2,7 @@
 
 use laurelstall_crash::{
     crash_record::{CrashReport, ReportedCrash, TargetCrash},
-    crash_table::{CrashTable, QuarantineStatus},
+    crash_table::{CrashTable, RequestStatus},
     request_digest::RequestDigest,
 };
 
@@ -19,20 +19,20 @@
 }
 
 fn is_quarantined(table: &CrashTable, number: u64, now_s: i64) -> bool {
-    matches!(table.quarantine_status(digest(number), now_s * S), QuarantineStatus::Quarantined { .. })
+    matches!(table.request_status(digest(number), now_s * S), RequestStatus::Quarantined { .. })
 }
 
 #[test]
 fn a_request_is_quarantined_after_two_crashes_but_not_after_one() {
     let mut table = CrashTable::default();
     crash(&mut table, 1, 10, &[1, 2, 3]);
-    assert_eq!(table.quarantine_status(digest(1), 10 * S), QuarantineStatus::Suspected(1));
+    assert_eq!(table.request_status(digest(1), 10 * S), RequestStatus::Suspected(1));
     crash(&mut table, 2, 11, &[1, 4]);
     assert!(is_quarantined(&table, 1, 11));
     for number in [2, 3, 4] {
-        assert_eq!(table.quarantine_status(digest(number), 11 * S), QuarantineStatus::Suspected(1));
+        assert_eq!(table.request_status(digest(number), 11 * S), RequestStatus::Suspected(1));
     }
-    assert_eq!(table.quarantine_status(digest(5), 11 * S), QuarantineStatus::Harmless);
+    assert_eq!(table.request_status(digest(5), 11 * S), RequestStatus::Harmless);
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let mut table = CrashTable::default();
     crash(&mut table, 1, 10, &[1]);
     crash(&mut table, 1, 12, &[1]);
-    assert_eq!(table.quarantine_status(digest(1), 12 * S), QuarantineStatus::Suspected(1));
+    assert_eq!(table.request_status(digest(1), 12 * S), RequestStatus::Suspected(1));
 }
 
 #[test]
@@ -50,7 +50,7 @@
     for id in 1..=4 {
         crash(&mut table, id, 11, &[1, 2]);
     }
-    assert_eq!(table.quarantine_status(digest(1), 11 * S), QuarantineStatus::Harmless);
+    assert_eq!(table.request_status(digest(1), 11 * S), RequestStatus::Harmless);
     assert!(is_quarantined(&table, 2, 11), "this request has no successful run");
 }
 
@@ -73,9 +73,9 @@
     two.merge_reports(&one.all_reports(11 * S), 111 * S);
     assert!(is_quarantined(&two, 1, 111));
     assert!(two.note_success(digest(1), 112 * S));
-    assert_eq!(two.quarantine_status(digest(1), 112 * S), QuarantineStatus::Harmless);
+    assert_eq!(two.request_status(digest(1), 112 * S), RequestStatus::Harmless);
     assert_eq!(one.merge_reports(&two.all_reports(112 * S), 12 * S), vec![digest(1)]);
-    assert_eq!(one.quarantine_status(digest(1), 12 * S), QuarantineStatus::Harmless);
+    assert_eq!(one.request_status(digest(1), 12 * S), RequestStatus::Harmless);
     assert_eq!(one.hash(), two.hash());
 }
 
@@ -88,7 +88,7 @@
     assert!(is_quarantined(&witness, 1, 10));
     assert_eq!(other.merge_reports(&witness.all_reports(10 * S), 10 * S), vec![digest(1)]);
     witness.merge_reports(&other.all_reports(10 * S), 10 * S);
-    assert_eq!(witness.quarantine_status(digest(1), 10 * S), QuarantineStatus::Harmless);
+    assert_eq!(witness.request_status(digest(1), 10 * S), RequestStatus::Harmless);
 }
 
 #[test]
@@ -111,7 +111,7 @@
     for table in &tables {
         assert_eq!(table.hash(), tables[0].hash());
         assert!(is_quarantined(table, 7, 10));
-        assert_eq!(table.suspects(10 * S)[0].ends, 3);
+        assert_eq!(table.suspects(10 * S)[0].crashes, 3);
     }
 }
 
@@ -121,10 +121,10 @@
     crash(&mut old, 1, 100, &[1]);
     crash(&mut old, 2, 101, &[1]);
     young.merge_reports(&old.all_reports(200 * S), S);
-    let QuarantineStatus::Quarantined { retry_after_ms } = young.quarantine_status(digest(1), S) else {
+    let RequestStatus::Quarantined { retry_after_ms } = young.request_status(digest(1), S) else {
         panic!("the request is not quarantined")
     };
-    assert_eq!(old.quarantine_status(digest(1), 200 * S), QuarantineStatus::Quarantined { retry_after_ms });
+    assert_eq!(old.request_status(digest(1), 200 * S), RequestStatus::Quarantined { retry_after_ms });
 }
 
 #[test]
@@ -137,7 +137,7 @@
     for quarantine_s in [300, 3_600, 43_200] {
         assert!(is_quarantined(&table, 1, now_s + quarantine_s - 1));
         now_s += quarantine_s;
-        assert_eq!(table.quarantine_status(digest(1), now_s * S), QuarantineStatus::HalfOpen);
+        assert_eq!(table.request_status(digest(1), now_s * S), RequestStatus::HalfOpen);
         trials += 1;
         crash(&mut table, 2 + trials, now_s, &[1]);
     }
@@ -150,7 +150,7 @@
     crash(&mut table, 1, 10, &[1]);
     crash(&mut table, 2, 11, &[1]);
     assert_eq!(table.release(1, 12 * S), Some(digest(1)));
-    assert_eq!(table.quarantine_status(digest(1), 12 * S), QuarantineStatus::Harmless);
+    assert_eq!(table.request_status(digest(1), 12 * S), RequestStatus::Harmless);
     assert_eq!(table.release(1, 12 * S), None);
     crash(&mut table, 3, 13, &[1]);
     crash(&mut table, 4, 13, &[1]);
@@ -208,7 +208,7 @@
             table.merge_reports(&reports.collect::<Vec<_>>(), now_us);
             table.note_crash(TargetCrash { id: 1, at_us: now_us }, SERVICE, &[digest(1)], now_us);
             for state in table.suspects(now_us) {
-                table.quarantine_status(state.digest, now_us);
+                table.request_status(state.digest, now_us);
             }
             assert!(table.all_reports(now_us).len() <= 256);
             assert!(table.all_reports(now_us).iter().all(|report| report.ends.len() <= 16));
--- a/crates/laurelstall_crash/tests/run_watch.rs
+++ b/crates/laurelstall_crash/tests/run_watch.rs
@@ -85,12 +85,12 @@
     let mut tracker = RunTracker::default();
     let lost = tracker.start(digest(1), 0);
     tracker.note_broken(lost, 500);
-    tracker.note_unknown(1_000);
+    tracker.note_check_inconclusive(1_000);
     assert!(tracker.has_lost_runs(100_000));
     assert_eq!(tracker.note_crash(100_000).digests, vec![digest(1)]);
     let lost = tracker.start(digest(2), 200_000);
     tracker.note_broken(lost, 290_000);
-    tracker.note_unknown(300_000);
+    tracker.note_check_inconclusive(300_000);
     assert!(!tracker.has_lost_runs(900_000), "the run was lost too long ago");
     assert!(tracker.note_crash(900_000).digests.is_empty());
 }
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -60,7 +60,7 @@
 pub struct Entry {
     /// State shared by all calls.
     pub context: CallContext,
-    /// The configuration in force.
+    /// The current configuration.
     pub active: Arc<ActiveConfig>,
     /// The services called through this entry.
     pub services: Arc<Services>,
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -97,7 +97,7 @@
     pub client: PeerClient,
     /// The distribution of configuration, which knows the age of the platform data.
     pub replicator: Arc<Replicator>,
-    /// The configuration in force.
+    /// The current configuration.
     pub active: Arc<ActiveConfig>,
     /// Event counters of the node.
     pub counters: Arc<Counters>,
@@ -242,7 +242,7 @@
         self.owned().levels(now_us).map(|(key, level)| (key.clone(), level)).collect()
     }
 
-    /// Updates the ownership of shares from the fleet document in force.
+    /// Updates the ownership of shares from the current fleet document.
     pub fn follow_fleet(&self) {
         let snapshot = self.options.active.load();
         self.owned().set_fleet(&snapshot.configuration.fleet, self.options.clock.now_us());
@@ -305,7 +305,7 @@
         let data_centre = &self.options.data_centre;
         self.with_owner_order(workspace, |order| {
             order.set_fleet(fleet, workspace, split.shares, data_centre);
-            order.owners_to_ask(now_us)
+            order.owners_in_order(now_us)
         })
     }
 
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -117,7 +117,7 @@
     pub is_baseline: bool,
     /// Random number that identifies this start of the guard.
     pub incarnation: u64,
-    /// The configuration in force.
+    /// The current configuration.
     pub active: Arc<ActiveConfig>,
     /// Spends the byte budget for load observations.
     pub observer: Arc<Observer>,
@@ -175,7 +175,7 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Applies the configuration in force: the state of the host, the listed target and its limits.
+    /// Applies the current configuration: the state of the host, the listed target and its limits.
     pub fn update(&self) {
         let snapshot = self.inner.active.load();
         self.follow_fleet(&snapshot);
@@ -349,7 +349,7 @@
         self.settings.as_ref().is_some_and(|settings| settings.service == service)
     }
 
-    /// Returns why a queued call must not start any more: the configuration in force no longer lists its target
+    /// Returns why a queued call must not start any more: the current configuration no longer lists its target
     /// here, or the grace period of the drain is over.
     fn refusal_after_wait(&self, head: &AttemptHead) -> Option<RefusalReason> {
         let snapshot = self.active.load();
--- a/crates/laurelstall_node/src/target_guard/crash_detection.rs
+++ b/crates/laurelstall_node/src/target_guard/crash_detection.rs
@@ -7,7 +7,7 @@
 use crate::{counters::count, target_http::TargetError};
 use laurelstall_crash::{
     crash_record::CrashReport,
-    crash_table::QuarantineStatus,
+    crash_table::RequestStatus,
     request_digest::RequestDigest,
     run_tracker::{CrashedRuns, RunId, RunTracker},
 };
@@ -131,7 +131,7 @@
                 self.report_crash(target, &ended, was_leaving);
             }
             TargetStatus::Alive => self.watch().note_alive_after_break(),
-            TargetStatus::Unclear => self.watch().note_unknown(broken_us),
+            TargetStatus::Unclear => self.watch().note_check_inconclusive(broken_us),
         }
         status == TargetStatus::Ended
     }
@@ -211,7 +211,7 @@
 
     /// Returns the refusal of a quarantined request; `None` if the request may run.
     pub(super) fn quarantine_refusal(&self, digest: RequestDigest) -> Option<Refusal> {
-        let QuarantineStatus::Quarantined { retry_after_ms } = self.crashes.quarantine_status(digest) else {
+        let RequestStatus::Quarantined { retry_after_ms } = self.crashes.request_status(digest) else {
             return None;
         };
         Some(
--- a/crates/laurelstall_node/tests/lapsed.rs
+++ b/crates/laurelstall_node/tests/lapsed.rs
@@ -111,7 +111,7 @@
     assert_eq!(targets(&active), ["a"]);
 }
 
-// Concurrent updates of the configuration in force from documents and from other nodes' corrections must not overwrite
+// Concurrent updates of the current configuration from documents and from other nodes' corrections must not overwrite
 // each other.
 #[test]
 fn a_configuration_accepted_during_a_concurrent_fleet_update_is_not_lost() {
--- a/crates/laurelstall_standin/src/experiment.rs
+++ b/crates/laurelstall_standin/src/experiment.rs
@@ -12,7 +12,7 @@
     target::Targets,
 };
 use laurelstall_balance::{
-    baseline::{LeastStale, Oracle, Random, RoundRobin, TrueLoads, TwoChoices},
+    baseline::{Oracle, Random, RoundRobin, StaleLeastLoaded, TrueLoads, TwoChoices},
     chooser::Chooser,
 };
 use laurelstall_config::{settings::DecisionFormat, team::ServiceLimits};
@@ -82,7 +82,7 @@
                 match self {
                     Self::Random | Self::Laurelstall => Box::new(Random),
                     Self::RoundRobin => Box::new(RoundRobin::default()),
-                    Self::LeastStale => Box::new(LeastStale::new(loads)),
+                    Self::LeastStale => Box::new(StaleLeastLoaded::new(loads)),
                     Self::TwoChoices => Box::new(TwoChoices),
                     Self::Oracle => Box::new(Oracle::new(loads)),
                 }
--- a/crates/laurelstall_standin/tests/administration.rs
+++ b/crates/laurelstall_standin/tests/administration.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use laurelstall_config::settings::{Role, TokenSettings};
-use laurelstall_crash::{crash_table::QuarantineStatus, request_digest::RequestDigest};
+use laurelstall_crash::{crash_table::RequestStatus, request_digest::RequestDigest};
 use serde_json::Value;
 use support::{Answer, entry, plan, send_request, start};
 
@@ -139,7 +139,7 @@
     assert_eq!(release(OPERATE, "ab").await, StatusCode::NOT_FOUND);
     assert_eq!(release(OPERATE, "00000000000000ab").await, StatusCode::OK);
     for node in 0..2 {
-        while crashes(node).quarantine_status(digest) != QuarantineStatus::Harmless {
+        while crashes(node).request_status(digest) != RequestStatus::Harmless {
             tokio::time::sleep(tokio::time::Duration::from_millis(10)).await;
         }
     }
--- a/crates/laurelstall_workspace/examples/quota_ways.rs
+++ b/crates/laurelstall_workspace/examples/quota_ways.rs
@@ -162,7 +162,7 @@
         let order = &mut self.orders[node][workspace];
         order.set_fleet(&self.fleet, &name, split.shares, &data_centre);
         let mut waited_us = 0;
-        for share_owner in order.owners_to_ask(now_us) {
+        for share_owner in order.owners_in_order(now_us) {
             let owner = share_owner.host.strip_prefix("host-").and_then(|index| index.parse::<usize>().ok());
             let Some(owner) = owner else { continue };
             let is_own = owner == node;
--- a/crates/laurelstall_workspace/src/share_owner_list.rs
+++ b/crates/laurelstall_workspace/src/share_owner_list.rs
@@ -63,7 +63,7 @@
     /// The owners to request tokens from, in this order: those in the local data centre first, rotated within each
     /// group. Owners that did not answer recently are included only when no other is left, because each of them may
     /// cost the call a timeout.
-    pub fn owners_to_ask(&mut self, now_us: u64) -> Vec<ShareOwner> {
+    pub fn owners_in_order(&mut self, now_us: u64) -> Vec<ShareOwner> {
         self.turn = self.turn.wrapping_add(1);
         let is_reachable = |owner: &ShareOwner| owner.unreachable_until_us <= now_us;
         let any_reachable = self.owners.iter().any(is_reachable);
--- a/crates/laurelstall_workspace/tests/quotas.rs
+++ b/crates/laurelstall_workspace/tests/quotas.rs
@@ -134,21 +134,21 @@
     let all = fleet(0..13);
     let mut order = ShareOwnerList::default();
     order.set_fleet(&all, WORKSPACE, 3, "north");
-    let listed = order.owners_to_ask(BEGIN_US);
+    let listed = order.owners_in_order(BEGIN_US);
     assert_eq!(listed.len(), 3);
     order.note_unreachable(0, BEGIN_US);
-    assert!(order.owners_to_ask(BEGIN_US).iter().all(|owner| owner.share != 0));
+    assert!(order.owners_in_order(BEGIN_US).iter().all(|owner| owner.share != 0));
     order.note_empty(1, 50_000, BEGIN_US);
     order.note_empty(2, 20_000, BEGIN_US);
     assert!(
-        order.owners_to_ask(BEGIN_US).is_empty(),
+        order.owners_in_order(BEGIN_US).is_empty(),
         "a reachable owner is empty, so unreachable ones are skipped"
     );
     assert_eq!(order.empty_for_us(BEGIN_US), Some(20_000));
-    assert_eq!(order.owners_to_ask(BEGIN_US + 20_000).len(), 1);
+    assert_eq!(order.owners_in_order(BEGIN_US + 20_000).len(), 1);
     order.note_unreachable(1, BEGIN_US + 60_000);
     order.note_unreachable(2, BEGIN_US + 60_000);
-    assert_eq!(order.owners_to_ask(BEGIN_US + 60_000).len(), 3, "no other owner is left");
+    assert_eq!(order.owners_in_order(BEGIN_US + 60_000).len(), 3, "no other owner is left");
 }
 
 /// A simulated node that owns shares.
