--- a/crates/laurelstall_node/benches/decisions.rs
+++ b/crates/laurelstall_node/benches/decisions.rs
@@ -61,7 +61,7 @@
         for index in 0..targets {
             balancer.update_hint(index, &format!("target-{index}"), hint(index as u32 % 12), 1_000_000);
         }
-        let choosing = ChoiceRequest {
+        let choice_request = ChoiceRequest {
             excluded: &[],
             only: None,
             data_centres: None,
@@ -71,7 +71,7 @@
             now_us: 1_001_000,
         };
         criterion.bench_function(&format!("choice among {targets}"), |b| {
-            b.iter(|| balancer.choose(black_box(&choosing)))
+            b.iter(|| balancer.choose(black_box(&choice_request)))
         });
     }
 }
--- a/crates/laurelstall_node/src/background.rs
+++ b/crates/laurelstall_node/src/background.rs
@@ -34,7 +34,7 @@
         observer.set_limits(snapshot.configuration.system.observe);
         caller_limits.set_published(snapshot.configuration.system.callers);
         guard.update();
-        quotas.follow_fleet();
+        quotas.update_share_ownership();
         tokio::select! {
             changed = changes.changed() => if changed.is_err() { return },
             () = active.apply_next_expiry() => {}
--- a/crates/laurelstall_node/src/call.rs
+++ b/crates/laurelstall_node/src/call.rs
@@ -31,7 +31,7 @@
 mod quarantine;
 mod retries;
 mod target_choice;
-mod target_queries;
+mod target_probes;
 
 /// State shared by all calls of an entry.
 #[derive(Debug)]
@@ -40,11 +40,11 @@
     pub clock: Clock,
     /// The host's name.
     pub host: String,
-    /// The guard of this host's own target.
+    /// The guard of the local target.
     pub local: Arc<dyn AttemptHandler>,
     /// Client for requests to other nodes.
     pub client: PeerClient,
-    /// Spends the byte budget for load observations.
+    /// Limits the bytes spent on load hints and probes.
     pub observer: Arc<Observer>,
     /// Log of routing decisions.
     pub decisions: DecisionLog,
@@ -88,16 +88,16 @@
     excluded: Vec<usize>,
     /// Number of attempts made, including hedges.
     attempts: u32,
-    /// Number of attempts that a target has run or may have run.
+    /// Number of attempts that a target has run or may have run and after which a retry was considered.
     possible_runs: u32,
-    /// Number of refusals by overloaded guards and targets.
-    refusals: u32,
+    /// Number of refusals by overloaded guards and targets after which a retry was considered.
+    overload_refusals: u32,
     /// Number of times that a guard handed the queued call back to be sent elsewhere.
     hand_backs: u32,
     /// Indices of targets that refused the call because they are slow.
-    slow: Vec<usize>,
+    slow_refusers: Vec<usize>,
     /// Whether an earlier attempt ended with an unknown outcome.
-    is_unknown: bool,
+    has_unknown_attempt: bool,
     last_refusal: Option<Refusal>,
     fallback: Option<FallbackAnswer>,
 }
@@ -120,10 +120,10 @@
             excluded: Vec::new(),
             attempts: 0,
             possible_runs: 0,
-            refusals: 0,
+            overload_refusals: 0,
             hand_backs: 0,
-            slow: Vec::new(),
-            is_unknown: false,
+            slow_refusers: Vec::new(),
+            has_unknown_attempt: false,
             last_refusal: None,
             fallback: None,
         }
@@ -135,7 +135,7 @@
         let request = &self.request;
         self.service.balancer().note_call(request.budget_importance, request.is_parent_retry, now_us);
         if self.request.ticket.is_none() {
-            target_queries::query_targets(self.context, &self.service).await;
+            target_probes::probe_targets(self.context, &self.service).await;
         }
         loop {
             let now_us = self.context.clock.now_us();
@@ -150,6 +150,7 @@
             let Some(destination) = self.choose(now_us) else {
                 return self.give_up(RefusalReason::NoTarget);
             };
+            // The body was a stream that has been read, so another attempt cannot send it.
             let Some(body) = self.take_body() else {
                 return self.give_up(RefusalReason::NoTarget);
             };
--- a/crates/laurelstall_node/src/call/attempts.rs
+++ b/crates/laurelstall_node/src/call/attempts.rs
@@ -92,7 +92,7 @@
         }
         self.record_outcome(&finished_to, &finished);
         // The outcome of the other attempt does not show whether this one ran.
-        self.is_unknown |= matches!(finished.outcome, AttemptOutcome::Unknown(_));
+        self.has_unknown_attempt |= matches!(finished.outcome, AttemptOutcome::Unknown(_));
         (other_to, other.await)
     }
 
@@ -119,7 +119,11 @@
             useful_us: self.useful_us(now_us),
             class: self.request.class,
             importance: self.importance(),
-            workspace: self.request.workspace.as_ref().map_or_else(String::new, |own| own.name.clone()),
+            workspace: self
+                .request
+                .workspace
+                .as_ref()
+                .map_or_else(String::new, |workspace| workspace.name.clone()),
             is_return: self.request.is_caller_retry,
             is_repeat: self.possible_runs > 0 || self.request.is_parent_retry,
             may_repeat: self.request.route.may_repeat,
--- a/crates/laurelstall_node/src/call/outcomes.rs
+++ b/crates/laurelstall_node/src/call/outcomes.rs
@@ -25,9 +25,9 @@
             }
             AttemptOutcome::Answered { .. } => (AttemptResult::Succeeded(took_us), "answered"),
             AttemptOutcome::NotRun(refusal) => {
-                let facts = refusal.reason.properties();
-                let is_failure = facts.signal == TargetSignal::Failing;
-                (if is_failure { AttemptResult::Failed } else { AttemptResult::NotRun }, facts.name)
+                let properties = refusal.reason.properties();
+                let is_failure = properties.signal == TargetSignal::Failing;
+                (if is_failure { AttemptResult::Failed } else { AttemptResult::NotRun }, properties.name)
             }
             AttemptOutcome::Unknown(cause) => (AttemptResult::Failed, cause.label()),
         };
@@ -36,16 +36,16 @@
         self.write_decision(destination, outcome_name, took_us);
     }
 
-    /// Updates the balancer's view of the target from a refusal, which costs nothing of the observation budget.
+    /// Updates the balancer's view of the target from a refusal. This is not charged to the observation budget.
     fn record_refusal(&self, destination: &Destination, refusal: &Refusal, now_us: u64) {
         let index = destination.choice.index;
         let name = &destination.name;
-        let facts = refusal.reason.properties();
+        let properties = refusal.reason.properties();
         let mut balancer = self.service.balancer();
-        if facts.has_reached_target() && self.attempts == 1 {
+        if properties.has_reached_target() && self.attempts == 1 {
             balancer.note_rejected(now_us);
         }
-        match facts.signal {
+        match properties.signal {
             TargetSignal::Full => balancer.note_queueing(index, name, true, now_us),
             TargetSignal::Queueing => balancer.note_queueing(index, name, false, now_us),
             TargetSignal::Slow => balancer.note_slow(index, name, refusal.slowness_percent, now_us),
@@ -67,7 +67,7 @@
         };
         if let Some(ejected) = ejected {
             log::info!(
-                "target {} of service {} ejected ({} ejections so far): error rate {:.2}, latency {} us",
+                "target {} of service {} ejected ({} ejections in a row): error rate {:.2}, latency {} us",
                 ejected.target,
                 self.service.name,
                 ejected.times,
@@ -91,7 +91,7 @@
             is_return: self.request.is_caller_retry,
             left_us: self.request.deadline_us.saturating_sub(destination.sent_at_us),
             service: self.service.name.clone(),
-            version: self.policy_version(),
+            version: self.team_version(),
             fleet_version: self.snapshot.configuration.version(&DocumentName::Fleet),
             target: destination.name.clone(),
             why: destination.choice_reason.clone(),
@@ -104,7 +104,7 @@
         });
     }
 
-    fn policy_version(&self) -> Version {
+    fn team_version(&self) -> Version {
         let team = self.service.name.split('/').next().unwrap_or_default();
         self.snapshot.configuration.version(&DocumentName::Team(team.to_owned()))
     }
--- a/crates/laurelstall_node/src/call/quarantine.rs
+++ b/crates/laurelstall_node/src/call/quarantine.rs
@@ -5,8 +5,8 @@
 use laurelstall_guard::refusal::{Refusal, RefusalReason};
 use laurelstall_peer::partners::is_trial_host;
 
-/// Number of target crashes during a request up to which the entry still retries it. A single crash seldom has to do
-/// with a particular request.
+/// Number of target crashes during a request up to which the entry still retries it. A single crash is rarely caused
+/// by a particular request.
 const RETRIED_CRASHES_MAX: usize = 1;
 
 /// Retry delay in ms for the caller of a quarantined request whose trial run is the task of another node.
@@ -31,8 +31,8 @@
         is_trial_host(fleet, &self.context.host, digest.whole) && self.context.crashes.begin_trial(digest)
     }
 
-    /// Whether a request during which a target has just crashed must not be retried.
-    pub(super) fn is_crash_suspect(&self, report: Option<CrashReport>) -> bool {
+    /// Merges the crash report of an attempt and returns whether the request must not be retried.
+    pub(super) fn merge_and_check_suspect(&self, report: Option<CrashReport>) -> bool {
         let crashes = &self.context.crashes;
         crashes.merge_reports(report.as_slice());
         match crashes.quarantine_status(self.request.digest) {
--- a/crates/laurelstall_node/src/call/retries.rs
+++ b/crates/laurelstall_node/src/call/retries.rs
@@ -42,9 +42,9 @@
                 self.handle_refusal(destination, refusal)
             }
             AttemptOutcome::Unknown(cause) => {
-                self.is_unknown = true;
+                self.has_unknown_attempt = true;
                 let is_suspect =
-                    cause == UnknownCause::TargetEnded && self.is_crash_suspect(answer.ended.take());
+                    cause == UnknownCause::TargetEnded && self.merge_and_check_suspect(answer.ended.take());
                 if !is_suspect && self.may_retry(None) {
                     self.excluded.push(destination.choice.index);
                     return NextAction::Retry;
@@ -70,7 +70,7 @@
                 return NextAction::Retry;
             }
             NextStep::SkipSlow => {
-                self.slow.push(index);
+                self.slow_refusers.push(index);
                 return NextAction::Retry;
             }
             _ if self.request.ticket.is_some() => return NextAction::Finish(self.give_up(refusal.reason)),
@@ -98,12 +98,12 @@
     /// A nested call tries a few guards without spending retry budget: if it fails, the work of the call that waits for
     /// it is lost.
     fn may_try_another_guard(&mut self) -> bool {
-        self.refusals += 1;
+        self.overload_refusals += 1;
         if self.request.is_nested {
-            return self.refusals < NESTED_REFUSALS_MAX;
+            return self.overload_refusals < NESTED_REFUSALS_MAX;
         }
         let now_us = self.context.clock.now_us();
-        self.refusals < self.request.route.tries && self.service.balancer().may_reroute(now_us)
+        self.overload_refusals < self.request.route.tries && self.service.balancer().may_reroute(now_us)
     }
 
     /// Whether the call may make another attempt, within the `tries` of its route and the service's retry budget.
@@ -112,7 +112,7 @@
     fn may_retry(&mut self, refusal: Option<Refusal>) -> bool {
         let is_safe = refusal.is_some() || self.request.route.may_repeat;
         // A refused attempt did not run, so refusals are counted separately.
-        let counted = if refusal.is_some() { &mut self.refusals } else { &mut self.possible_runs };
+        let counted = if refusal.is_some() { &mut self.overload_refusals } else { &mut self.possible_runs };
         *counted += 1;
         if !is_safe || *counted >= self.request.route.tries {
             return false;
@@ -135,12 +135,13 @@
         is_granted
     }
 
-    /// Returns the outcome of a call that makes no more attempts; `reason` applies if no attempt was refused.
+    /// Returns the outcome of a call that makes no more attempts: a kept server error, `Unknown` if an attempt may have
+    /// run, or the last refusal. `reason` applies if no attempt was refused, or the last one was only handed back.
     pub(super) fn give_up(&mut self, reason: RefusalReason) -> CallOutcome {
         if let Some(FallbackAnswer { status, headers, body }) = self.fallback.take() {
             return CallOutcome::Answered { status, headers, body };
         }
-        if self.is_unknown {
+        if self.has_unknown_attempt {
             return CallOutcome::Unknown("an earlier attempt may have run");
         }
         if self.is_ticket_unresolved() {
--- a/crates/laurelstall_node/src/call/target_choice.rs
+++ b/crates/laurelstall_node/src/call/target_choice.rs
@@ -16,9 +16,9 @@
         let only = self.request.ticket.as_ref().map(|ticket| ticket.target.as_str());
         let useful_us = self.request.useful_until_us.map(|until_us| until_us.saturating_sub(now_us));
         let class = self.request.class;
-        let waives_remote_cost = self.refusals > 0;
+        let waives_remote_cost = self.overload_refusals > 0;
         let data_centres = self.request.data_centres.as_deref();
-        let choosing = ChoiceRequest {
+        let choice_request = ChoiceRequest {
             excluded: &self.excluded,
             only,
             data_centres,
@@ -28,7 +28,7 @@
             now_us,
         };
         let mut balancer = self.service.balancer();
-        let choice = balancer.choose(&choosing)?;
+        let choice = balancer.choose(&choice_request)?;
         let is_logged = self.context.decisions.is_enabled();
         let views = balancer.targets();
         let view = &views[choice.index];
@@ -51,9 +51,9 @@
     ///
     /// Each target may refuse a call once, at most [`SLOW_REFUSALS_MAX`] targets may, and never the last one.
     pub(super) fn slow_from_percent(&self, destination: &Destination, now_us: u64) -> Option<u32> {
-        let is_first_time = !self.slow.contains(&destination.choice.index);
-        let has_alternative =
-            self.slow.len() + 1 < destination.targets && self.slow.len() < SLOW_REFUSALS_MAX;
+        let is_first_time = !self.slow_refusers.contains(&destination.choice.index);
+        let has_alternative = self.slow_refusers.len() + 1 < destination.targets
+            && self.slow_refusers.len() < SLOW_REFUSALS_MAX;
         let may_refuse = self.request.ticket.is_none() && is_first_time && has_alternative;
         may_refuse.then(|| self.service.balancer().slow_from_percent(now_us))
     }
--- /dev/null
+++ b/crates/laurelstall_node/src/call/target_probes.rs
@@ -0,0 +1,32 @@
+//! Probes the load of a few targets before a target is chosen for a call.
+
+use super::CallContext;
+use crate::services::ServiceState;
+use futures_util::future::join_all;
+use laurelstall_balance::service_balancer::QueryTarget;
+use tokio::time::{Duration, timeout};
+
+/// Maximum number of targets probed for one call.
+const PROBED_TARGETS_MAX: usize = 2;
+/// Longest time that a call waits for the probed targets.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(10);
+
+/// Probes the load of a few nearby targets of the service, if the balancer requests it and the observation budget
+/// allows it. Uses only connections that are already open.
+pub(super) async fn probe_targets(context: &CallContext, service: &ServiceState) {
+    let probed = service.balancer().targets_to_query(PROBED_TARGETS_MAX, context.clock.now_us());
+    if probed.is_empty() {
+        return;
+    }
+    let probes = probed.iter().map(|target| probe_target(context, service, target));
+    // Hints that arrive after the timeout are not used; the call is placed by the load known so far.
+    let _ = timeout(PROBE_TIMEOUT, join_all(probes)).await;
+}
+
+async fn probe_target(context: &CallContext, service: &ServiceState, target: &QueryTarget) {
+    let address = service.address(&target.host).filter(|address| context.client.pool().has(*address));
+    let Some(address) = address else { return };
+    if let Some(hint) = context.observer.probe(&context.client, address).await {
+        service.balancer().update_hint(target.index, &target.name, hint, context.clock.now_us());
+    }
+}
--- a/crates/laurelstall_node/src/caller_limits.rs
+++ b/crates/laurelstall_node/src/caller_limits.rs
@@ -1,4 +1,4 @@
-//! The limits on callers in force: the node's settings, overridden by the published configuration.
+//! The current limits on callers: the node's settings, overridden by the published configuration.
 
 use arc_swap::ArcSwap;
 use laurelstall_config::{settings::CallerLimits, system::PublishedCallerLimits};
@@ -24,7 +24,7 @@
         Arc::new(Self { current: ArcSwap::from_pointee(settings), sources: Mutex::new(sources) })
     }
 
-    /// Returns the limits in force.
+    /// Returns the current limits.
     pub fn current(&self) -> CallerLimits {
         **self.current.load()
     }
--- a/crates/laurelstall_node/src/counters.rs
+++ b/crates/laurelstall_node/src/counters.rs
@@ -33,7 +33,7 @@
     answered,
     /// Calls answered with the outcome `not-run`.
     not_run,
-    /// Calls answered with the outcome `unknown`.
+    /// Calls answered with the outcome `unknown`: they may have run.
     unknown,
     /// Invalid requests that were refused: malformed head, no such service, body too large.
     rejected,
@@ -63,9 +63,9 @@
     target_arrivals,
     /// Queued requests sent to the local target after the guard began to drain.
     late_starts,
-    /// Answers of the local target that it is overloaded.
+    /// Answers with which the local target shed a request because of overload.
     target_sheds,
-    /// Answers of the local target that it is another target than the request names.
+    /// Answers with which the local target refused a request that names another target.
     target_denials,
     /// Checks whether the local target has crashed.
     end_looks,
@@ -73,7 +73,7 @@
     target_ends,
     /// Tickets issued by this node's guard.
     tickets,
-    /// Repeated requests with a ticket that got the stored answer.
+    /// Repeated requests with a ticket that got the kept answer.
     tickets_kept,
     /// Probes sent.
     probes,
--- a/crates/laurelstall_node/src/decision_log.rs
+++ b/crates/laurelstall_node/src/decision_log.rs
@@ -45,7 +45,7 @@
     /// Importance of the call. A nested call, which the local target makes for a request it runs, has a higher one than
     /// any route.
     pub importance: u8,
-    /// Whether the caller has sent this call before.
+    /// Whether the caller appears to be retrying an earlier call, by its time budget.
     pub is_return: bool,
     /// Remaining time budget of the call when the attempt was sent, in µs.
     pub left_us: u64,
@@ -67,7 +67,7 @@
     pub hint_age_us: Option<u64>,
     /// Name and expected cost in µs of the second-best target. `None` when there was none.
     pub runner_up: Option<(String, u64)>,
-    /// Number of targets that were eligible.
+    /// Number of targets of the service.
     pub targets: usize,
     /// Outcome of the attempt.
     pub outcome: String,
@@ -108,7 +108,7 @@
     pub host: String,
     /// Path of the request.
     pub path: String,
-    /// Version of the team's document that was used; 0 when there was none.
+    /// Version of the team's document when the call ended; 0 when there was none.
     #[serde(serialize_with = "as_text")]
     pub version: Version,
     /// HTTP status of the answer.
@@ -203,10 +203,10 @@
         self.send(Line::Call(end), is_success);
     }
 
-    /// Returns up to `most` recent decisions, oldest first.
-    pub fn recent(&self, most: usize) -> Vec<Decision> {
+    /// Returns up to `limit` recent decisions, oldest first.
+    pub fn recent(&self, limit: usize) -> Vec<Decision> {
         let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
-        let skip = recent.len().saturating_sub(most);
+        let skip = recent.len().saturating_sub(limit);
         recent.iter().skip(skip).cloned().collect()
     }
 
--- a/crates/laurelstall_node/src/dialect.rs
+++ b/crates/laurelstall_node/src/dialect.rs
@@ -77,7 +77,7 @@
     /// need not be running on this host.
     fn parent_request_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
-    /// Returns the caller's name for itself, if the request carries one that is the same each time it arrives.
+    /// Returns the caller's name for itself, if the request contains one that stays the same in retries.
     fn caller<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
     /// Returns the time in ms that the caller waits.
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -60,18 +60,18 @@
 pub struct Entry {
     /// State shared by all calls.
     pub context: CallContext,
-    /// The configuration in force.
+    /// The current configuration.
     pub active: Arc<ActiveConfig>,
     /// The services called through this entry.
     pub services: Arc<Services>,
-    /// Name of this host's own service, without its team; empty when there is none.
+    /// Name of the local target's service, without its team; empty when there is none.
     pub own_service: String,
-    /// Requests that are running at this host's own target.
+    /// Requests that are running at the local target.
     pub running: Arc<RunningRequests>,
     /// Limits on callers.
     pub limits: Arc<ActiveCallerLimits>,
-    /// Time budgets that callers usually set, used to recognise retries.
-    pub budgets: Mutex<TypicalBudgets>,
+    /// Typical time budgets by class of call, used to recognise callers' retries.
+    pub typical_budgets: Mutex<TypicalBudgets>,
     /// Whether the node is stopping; responses over HTTP/1 then carry `connection: close`.
     pub is_stopping: AtomicBool,
     /// Times of the first call and the first answer.
@@ -255,7 +255,7 @@
         })?;
         let caller = match self.authorize(&snapshot, team, &parts, &route)? {
             Authorization::Granted(caller) => caller,
-            Authorization::Deferred(failed) => return Ok(Reply::Failed(failed)),
+            Authorization::Unavailable(failed) => return Ok(Reply::Failed(failed)),
         };
         let token = match self.take_token(&snapshot, team, &caller).await {
             Ok(token) => token,
@@ -343,6 +343,7 @@
             }
             CallOutcome::Unknown(why) => {
                 count(&counters.unknown);
+                // The texts of all causes that ran out of time contain "time budget".
                 let is_late = why.contains("time budget");
                 let status = if is_late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
                 let reason = why.to_owned();
@@ -396,7 +397,7 @@
         let mut excluded = Vec::new();
         loop {
             let now_us = self.context.clock.now_us();
-            let choosing = ChoiceRequest {
+            let choice_request = ChoiceRequest {
                 excluded: &excluded,
                 only: None,
                 data_centres: None,
@@ -407,7 +408,7 @@
             };
             let chosen = {
                 let mut balancer = service.balancer();
-                let choice = balancer.choose(&choosing);
+                let choice = balancer.choose(&choice_request);
                 choice.map(|choice| {
                     let view = &balancer.targets()[choice.index];
                     (choice.index, view.name.clone(), view.host.clone())
--- a/crates/laurelstall_node/src/entry/authorization.rs
+++ b/crates/laurelstall_node/src/entry/authorization.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// Retry delay in ms for calls that cannot be authorized yet because keys or hosts are not up to date.
-const DEFERRED_RETRY_MS: u64 = 500;
+const UNAVAILABLE_RETRY_MS: u64 = 500;
 
 /// Identity of the caller.
 #[derive(Debug, Clone, Default)]
@@ -31,8 +31,8 @@
 pub(super) enum Authorization {
     /// The call is allowed.
     Granted(Caller),
-    /// The call cannot be authorized now and is refused with this failure.
-    Deferred(FailedCall),
+    /// The call cannot be authorized now; it fails with a retry delay.
+    Unavailable(FailedCall),
 }
 
 impl Caller {
@@ -48,7 +48,9 @@
         match (route_data_centres, workspace_data_centres) {
             ([], []) => None,
             ([], only) | (only, []) => Some(only.to_vec()),
-            (route, own) => Some(route.iter().filter(|name| own.contains(name)).cloned().collect()),
+            (route, workspace) => {
+                Some(route.iter().filter(|name| workspace.contains(name)).cloned().collect())
+            }
         }
     }
 }
@@ -56,7 +58,7 @@
 impl Entry {
     /// Determines the caller of a request.
     ///
-    /// A nested call from this host's own target carries no key and belongs to the workspace of its parent call.
+    /// A nested call from the local target carries no key and belongs to the workspace of its parent call.
     ///
     /// # Errors
     ///
@@ -79,7 +81,7 @@
         }
         if !route.is_public && !self.are_keys_fresh() {
             count(&self.context.counters.keys_stale);
-            return Ok(Authorization::Deferred(deferred("keys are not known to be up to date")));
+            return Ok(Authorization::Unavailable(unavailable("keys are not known to be up to date")));
         }
         let counters = &self.context.counters;
         match directory.look_up(key, route.is_public) {
@@ -104,7 +106,7 @@
 
     /// Authorizes a nested call without a key; `None` when the request names no parent call.
     ///
-    /// A parent that is not running here may have been started before this node was, so the call is deferred.
+    /// A parent that is not running here may have been started before this node was, so the caller is asked to retry.
     fn authorize_nested(
         &self,
         directory: &KeyDirectory,
@@ -119,7 +121,7 @@
                 Some(Authorization::Granted(Caller { workspace, ..caller }))
             }
             None if route.is_public => Some(Authorization::Granted(caller)),
-            None => Some(Authorization::Deferred(deferred(
+            None => Some(Authorization::Unavailable(unavailable(
                 "the request that the call is made for does not run here",
             ))),
         }
@@ -155,12 +157,14 @@
                 let status = StatusCode::TOO_MANY_REQUESTS;
                 Err(FailedCall::not_run(status, "the workspace's quota is spent", Some(retry_after_ms)))
             }
-            Err(QuotaRefusal::NoOwner) => Err(deferred("no node that counts the workspace's calls answers")),
+            Err(QuotaRefusal::NoOwner) => {
+                Err(unavailable("no node that counts the workspace's calls answers"))
+            }
         }
     }
 }
 
 /// Builds the failure of a call that cannot be authorized yet.
-fn deferred(reason: &str) -> FailedCall {
-    FailedCall::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, Some(DEFERRED_RETRY_MS))
+fn unavailable(reason: &str) -> FailedCall {
+    FailedCall::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, Some(UNAVAILABLE_RETRY_MS))
 }
--- a/crates/laurelstall_node/src/entry/request_reader.rs
+++ b/crates/laurelstall_node/src/entry/request_reader.rs
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Returns the request running at this host's own target that makes this call; `None` when there is none.
+    /// Returns the request running at the local target that makes this call; `None` when there is none.
     pub(super) fn parent(&self, parts: &Parts) -> Option<RunInfo> {
         let parent = self.context.dialect.parent_request_id(&parts.headers)?;
         self.running.get(parent)
@@ -149,7 +149,7 @@
     fn is_caller_retry(&self, parts: &Parts, route: &Route) -> Result<bool, Rejection> {
         let requested_ms = self.context.dialect.budget_ms(&parts.headers).map_err(bad_number)?;
         let Some(requested_ms) = requested_ms else { return Ok(false) };
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut budgets = self.typical_budgets.lock().unwrap_or_else(PoisonError::into_inner);
         Ok(budgets.note(route.class, requested_ms))
     }
 
--- a/crates/laurelstall_node/src/listener.rs
+++ b/crates/laurelstall_node/src/listener.rs
@@ -112,7 +112,7 @@
             connections.spawn(async move {
                 let _permit = permit;
                 if let Err(error) = serve_pipelined(WriteTimeoutStream::new(stream, idle), options).await {
-                    log::debug!("caller's connection ended: {error}");
+                    log::debug!("client connection ended: {error}");
                 }
             });
         }
--- a/crates/laurelstall_node/src/node.rs
+++ b/crates/laurelstall_node/src/node.rs
@@ -102,7 +102,7 @@
     pub listeners: Listeners,
     /// Creates the chooser of targets for each service.
     pub chooser: ChooserFactory,
-    /// Whether the guard queues without limit and never hands calls back, as behind a plain load balancer.
+    /// Whether the guard queues without limit and never hands calls back, as behind a conventional load balancer.
     pub is_baseline: bool,
     /// Seed of the random choices.
     pub seed: u64,
@@ -310,7 +310,7 @@
             active: active.clone(),
             services: services.clone(),
             limits: caller_limits.clone(),
-            budgets: Mutex::default(),
+            typical_budgets: Mutex::default(),
             is_stopping: false.into(),
             milestones: Milestones::default(),
             quotas: quotas.clone(),
--- a/crates/laurelstall_node/src/pipelined_connection.rs
+++ b/crates/laurelstall_node/src/pipelined_connection.rs
@@ -8,7 +8,7 @@
 use crate::{
     caller_limits::ActiveCallerLimits,
     listener::{Responder, builder},
-    request_head::{RequestHead, read_head},
+    request_head::{ReadHead, read_head},
     write_timeout_stream::WriteTimeoutStream,
 };
 use bytes::{Bytes, BytesMut};
@@ -195,9 +195,9 @@
             Ok(head) => head?,
         };
         let (bytes, parts) = match head {
-            RequestHead::Plain { bytes, parts } => (bytes, parts),
-            RequestHead::Closed => return Ok(ReadEnd::CallerGone),
-            RequestHead::Other => return Ok(ReadEnd::HandOver(buffer)),
+            ReadHead::Plain { bytes, parts } => (bytes, parts),
+            ReadHead::Closed => return Ok(ReadEnd::CallerGone),
+            ReadHead::Other => return Ok(ReadEnd::HandOver(buffer)),
         };
         if !options.responder.may_run_concurrently(&parts) {
             // All permits are available once all earlier answers are written.
--- a/crates/laurelstall_node/src/platform_http.rs
+++ b/crates/laurelstall_node/src/platform_http.rs
@@ -96,20 +96,20 @@
 
     async fn get(&self, path: &str, wait_ms: u64) -> Result<(HeaderMap, Bytes), PlatformError> {
         let uri = format!("http://{}{path}", self.settings.address);
-        let uri: Uri = uri.parse().map_err(platform_unreachable)?;
-        let request = Request::get(uri).body(Empty::new()).map_err(platform_unreachable)?;
+        let uri: Uri = uri.parse().map_err(platform_error)?;
+        let request = Request::get(uri).body(Empty::new()).map_err(platform_error)?;
         let time_limit = Duration::from_millis(self.settings.read_timeout_ms + wait_ms);
         let read = async {
-            let response = self.client.request(request).await.map_err(platform_unreachable)?;
+            let response = self.client.request(request).await.map_err(platform_error)?;
             if !response.status().is_success() {
-                return Err(platform_unreachable(format!("{path}: status {}", response.status())));
+                return Err(platform_error(format!("{path}: status {}", response.status())));
             }
             let headers = response.headers().clone();
             let body = Limited::new(response.into_body(), DOCUMENT_BYTES_MAX);
-            let bytes = body.collect().await.map_err(platform_unreachable)?.to_bytes();
+            let bytes = body.collect().await.map_err(platform_error)?.to_bytes();
             Ok((headers, bytes))
         };
-        timeout(time_limit, read).await.map_err(|_| platform_unreachable(format!("{path}: timed out")))?
+        timeout(time_limit, read).await.map_err(|_| platform_error(format!("{path}: timed out")))?
     }
 }
 
@@ -125,7 +125,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn platform_unreachable(error: impl Display) -> PlatformError {
+fn platform_error(error: impl Display) -> PlatformError {
     PlatformError::Unreachable(error.to_string())
 }
 
@@ -141,7 +141,7 @@
                 None => ("/v1/values".to_owned(), 0),
             };
             let (_, bytes) = self.get(&path, wait_ms).await?;
-            let wire: WireListing = serde_json::from_slice(&bytes).map_err(platform_unreachable)?;
+            let wire: WireListing = serde_json::from_slice(&bytes).map_err(platform_error)?;
             self.era.store(wire.era, Ordering::Relaxed);
             // Keys that do not name documents belong to other systems and are ignored.
             let parse_value = |value: WireValue| {
@@ -162,9 +162,9 @@
         async move {
             let (headers, bytes) = self.get(&format!("/v1/values/{name}"), 0).await?;
             let number = number_in(&headers, &VERSION_HEADER);
-            let number = number.ok_or_else(|| platform_unreachable("the answer has no version header"))?;
+            let number = number.ok_or_else(|| platform_error("the answer has no version header"))?;
             let version = version_of(&name, number_in(&headers, &ERA_HEADER).unwrap_or(0), number);
-            let text = String::from_utf8(bytes.to_vec()).map_err(platform_unreachable)?;
+            let text = String::from_utf8(bytes.to_vec()).map_err(platform_error)?;
             Ok(Document { name, version, text })
         }
         .boxed()
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -95,9 +95,9 @@
     pub bounds: QuotaBounds,
     /// Client for requests to other nodes.
     pub client: PeerClient,
-    /// The distribution of configuration, which knows the age of the platform data.
+    /// Replicates the configuration between nodes; knows the age of the platform data.
     pub replicator: Arc<Replicator>,
-    /// The configuration in force.
+    /// The current configuration.
     pub active: Arc<ActiveConfig>,
     /// Event counters of the node.
     pub counters: Arc<Counters>,
@@ -116,7 +116,7 @@
 /// State of a workspace whose callers use this node.
 #[derive(Debug, Default)]
 struct WorkspaceState {
-    order: ShareOwnerList,
+    owners: ShareOwnerList,
     counts: WorkspaceCounts,
 }
 
@@ -132,7 +132,7 @@
         })
     }
 
-    /// Returns the distribution of configuration.
+    /// Returns the replicator of the configuration.
     pub fn replicator(&self) -> &Replicator {
         &self.options.replicator
     }
@@ -181,22 +181,22 @@
             let grant = self.request_token(state, &key).await;
             let now_us = self.options.clock.now_us();
             let Some(grant) = grant else {
-                self.with_owner_order(workspace, |order| order.note_unreachable(state.share, now_us));
+                self.with_owners(workspace, |owners| owners.note_unreachable(state.share, now_us));
                 continue;
             };
             if grant.tokens > 0 {
-                let is_own = state.host == self.options.host;
-                let owner = (!is_own).then_some(state.address);
+                let is_local = state.host == self.options.host;
+                let owner = (!is_local).then_some(state.address);
                 return Ok(QuotaToken { key, owner, taken_at_us: now_us });
             }
-            self.with_owner_order(workspace, |order| {
-                order.note_empty(state.share, grant.retry_after_us, now_us)
+            self.with_owners(workspace, |owners| {
+                owners.note_empty(state.share, grant.retry_after_us, now_us)
             });
             let earliest_us = retry_after_us.unwrap_or(u64::MAX);
             retry_after_us = Some(grant.retry_after_us.min(earliest_us));
         }
         let now_us = self.options.clock.now_us();
-        let known_us = self.with_owner_order(workspace, |order| order.empty_for_us(now_us));
+        let known_us = self.with_owners(workspace, |owners| owners.empty_for_us(now_us));
         match retry_after_us.or(known_us) {
             Some(us) => Err(QuotaRefusal::Spent { retry_after_ms: us.div_ceil(1_000).max(RETRY_MIN_MS) }),
             None => Err(QuotaRefusal::NoOwner),
@@ -242,8 +242,8 @@
         self.owned().levels(now_us).map(|(key, level)| (key.clone(), level)).collect()
     }
 
-    /// Updates the ownership of shares from the fleet document in force.
-    pub fn follow_fleet(&self) {
+    /// Updates the ownership of shares from the current fleet document.
+    pub fn update_share_ownership(&self) {
         let snapshot = self.options.active.load();
         self.owned().set_fleet(&snapshot.configuration.fleet, self.options.clock.now_us());
     }
@@ -252,6 +252,7 @@
     pub async fn monitor_connectivity(&self) {
         loop {
             sleep(CONNECTIVITY_INTERVAL).await;
+            // The time only affects the levels, which are not used.
             let owns_any = self.owned().levels(0).next().is_some();
             if owns_any && !self.has_fresh_platform_data() && self.reaches_others().await {
                 self.connected_us.store(self.options.clock.now_us(), Ordering::Relaxed);
@@ -303,15 +304,15 @@
     fn owners_in_order(&self, fleet: &Arc<Fleet>, workspace: &str, split: &QuotaSplit) -> Vec<ShareOwner> {
         let now_us = self.options.clock.now_us();
         let data_centre = &self.options.data_centre;
-        self.with_owner_order(workspace, |order| {
-            order.set_fleet(fleet, workspace, split.shares, data_centre);
-            order.owners_to_ask(now_us)
+        self.with_owners(workspace, |owners| {
+            owners.set_fleet(fleet, workspace, split.shares, data_centre);
+            owners.owners_to_ask(now_us)
         })
     }
 
-    fn with_owner_order<T>(&self, workspace: &str, change: impl FnOnce(&mut ShareOwnerList) -> T) -> T {
+    fn with_owners<T>(&self, workspace: &str, change: impl FnOnce(&mut ShareOwnerList) -> T) -> T {
         let mut workspaces = self.workspaces();
-        change(&mut workspaces.entry(workspace.to_owned()).or_default().order)
+        change(&mut workspaces.entry(workspace.to_owned()).or_default().owners)
     }
 
     /// Whether the platform data is fresh or the last connectivity check succeeded recently.
--- a/crates/laurelstall_node/src/request_head.rs
+++ b/crates/laurelstall_node/src/request_head.rs
@@ -20,7 +20,7 @@
 
 /// Result of [`read_head`].
 #[derive(Debug)]
-pub enum RequestHead {
+pub enum ReadHead {
     /// A request without a body that does not affect the connection.
     Plain {
         /// The head as received.
@@ -45,7 +45,7 @@
     input: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
     bytes_max: usize,
-) -> io::Result<RequestHead> {
+) -> io::Result<ReadHead> {
     loop {
         // Empty lines before a request are ignored (RFC 9112, section 2.2).
         while buffer.starts_with(b"\r\n") {
@@ -55,15 +55,15 @@
             match parse(buffer) {
                 Parsed::Plain(length, parts) => {
                     let bytes = buffer.split_to(length).freeze();
-                    return Ok(RequestHead::Plain { bytes, parts });
+                    return Ok(ReadHead::Plain { bytes, parts });
                 }
-                Parsed::Other => return Ok(RequestHead::Other),
-                Parsed::Partial if buffer.len() >= bytes_max => return Ok(RequestHead::Other),
+                Parsed::Other => return Ok(ReadHead::Other),
+                Parsed::Partial if buffer.len() >= bytes_max => return Ok(ReadHead::Other),
                 Parsed::Partial => {}
             }
         }
         if input.read_buf(buffer).await? == 0 {
-            return Ok(RequestHead::Closed);
+            return Ok(ReadHead::Closed);
         }
     }
 }
--- a/crates/laurelstall_node/src/running_requests.rs
+++ b/crates/laurelstall_node/src/running_requests.rs
@@ -1,11 +1,11 @@
-//! Tracks the requests running at this host's own target, so that the nested calls it makes for them are recognised.
+//! Tracks the requests running at the local target, so that the nested calls it makes for them are recognised.
 
 use std::{
     collections::HashMap,
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Requests running at this host's own target, by the request IDs that their callers chose.
+/// Requests running at the local target, by the request IDs that their callers chose.
 #[derive(Debug, Default)]
 pub struct RunningRequests {
     runs: Mutex<HashMap<String, Runs>>,
--- a/crates/laurelstall_node/src/services.rs
+++ b/crates/laurelstall_node/src/services.rs
@@ -23,8 +23,11 @@
     /// Full name, `team/service`.
     pub name: String,
     balancer: Mutex<ServiceBalancer>,
+    /// Addresses at which the nodes of the targets' hosts accept other nodes, by host.
     addresses: Mutex<HashMap<String, SocketAddr>>,
+    /// Generation of the snapshot that the state was updated to.
     generation: AtomicU64,
+    /// Time of the last call, in µs of the node's clock.
     used_at_us: AtomicU64,
 }
 
@@ -57,7 +60,7 @@
         Some((index, name, self.address(&host)?))
     }
 
-    /// Updates targets and addresses from the configuration in force.
+    /// Updates targets and addresses from the current configuration.
     fn update(&self, snapshot: &ConfigSnapshot, service: &Service, location: &NodeLocation, now_us: u64) {
         let configuration = &snapshot.configuration;
         let views = service.targets.iter().map(|target| {
@@ -66,9 +69,9 @@
             view.started_unix_ms = target.started_unix_ms;
             let host = configuration.host(&target.host);
             view.data_centre = host.map(|host| host.data_centre.clone()).unwrap_or_default();
-            let is_far = host.is_some_and(|host| host.data_centre != location.data_centre);
+            let is_remote = host.is_some_and(|host| host.data_centre != location.data_centre);
             view.remote_cost_percent =
-                if is_far { configuration.system.data_centre_change_percent } else { 0 };
+                if is_remote { configuration.system.data_centre_change_percent } else { 0 };
             view.is_live = host.is_some_and(|host| configuration.fleet.accepts_calls(host));
             view
         });
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -1,4 +1,4 @@
-//! The guard of this host's own target: admission control, tickets and forwarding of requests to the target.
+//! The guard of the local target: admission control, tickets and forwarding of requests to the target.
 
 use crate::{
     active_config::{ActiveConfig, ConfigSnapshot},
@@ -57,7 +57,7 @@
 /// Reasons to drain; the guard drains while any of them is set.
 #[derive(Debug, Default)]
 struct DrainReasons {
-    /// An operator asked for it.
+    /// An operator requested the drain.
     operator: AtomicBool,
     /// The node is stopping.
     stopping: AtomicBool,
@@ -83,7 +83,7 @@
     /// Serialises identity checks, so that concurrent calls share one.
     identity_check: AsyncMutex<()>,
     /// Requests that are running at the target, for attributing a crash to them.
-    watch: Mutex<RunTracker>,
+    run_tracker: Mutex<RunTracker>,
     /// The last check for a crash of the target.
     crash_check: AsyncMutex<CrashCheck>,
     drains: DrainReasons,
@@ -97,7 +97,7 @@
     latencies: Arc<Latencies>,
 }
 
-/// Handles all attempts at this host's own target.
+/// Handles all attempts at the local target.
 #[derive(Debug, Clone)]
 pub struct TargetGuard {
     inner: Arc<Inner>,
@@ -117,9 +117,9 @@
     pub is_baseline: bool,
     /// Random number that identifies this start of the guard.
     pub incarnation: u64,
-    /// The configuration in force.
+    /// The current configuration.
     pub active: Arc<ActiveConfig>,
-    /// Spends the byte budget for load observations.
+    /// Limits the bytes spent on load hints and probes.
     pub observer: Arc<Observer>,
     /// Event counters of the node.
     pub counters: Arc<Counters>,
@@ -160,7 +160,7 @@
             listed: Mutex::default(),
             identity: Mutex::new(TargetIdentity::new(address_reserved_until_us)),
             identity_check: AsyncMutex::default(),
-            watch: Mutex::default(),
+            run_tracker: Mutex::default(),
             crash_check: AsyncMutex::default(),
             drains: DrainReasons::default(),
             client,
@@ -175,13 +175,13 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Applies the configuration in force: the state of the host, the listed target and its limits.
+    /// Applies the current configuration: the state of the host, the listed target and its limits.
     pub fn update(&self) {
         let snapshot = self.inner.active.load();
-        self.follow_fleet(&snapshot);
-        let own = self.inner.own_target(&snapshot);
-        self.note_own_target(own.map(|(_, target)| target.name.as_str()), &snapshot);
-        let Some((service, target)) = own else { return };
+        self.update_fleet_drains(&snapshot);
+        let local = self.inner.local_target(&snapshot);
+        self.update_listed_target(local.map(|(_, target)| target.name.as_str()), &snapshot);
+        let Some((service, target)) = local else { return };
         let limits = &service.limits;
         self.inner.guard.set_can_query(!service.load_path.is_empty() && !self.inner.is_baseline);
         self.inner.ledger().set_tickets_max(limits.tickets_max);
@@ -215,7 +215,7 @@
         self.inner.drains.evacuated.load(Ordering::Relaxed)
     }
 
-    /// Starts or ends a drain that an operator asked for.
+    /// Starts or ends a drain that an operator requested.
     pub fn set_operator_drain(&self, is_draining: bool) {
         self.inner.drains.operator.store(is_draining, Ordering::Relaxed);
         self.apply_drains();
@@ -256,11 +256,11 @@
         self.inner.ledger().open()
     }
 
-    /// Issues tickets for this host's own target.
+    /// Issues tickets for the local target.
     pub fn issue_tickets(&self, request: &TicketsRequest) -> PeerAnswer {
         let snapshot = self.inner.active.load();
-        let own = self.inner.own_target(&snapshot);
-        let Some((service, _)) = own.filter(|(_, target)| {
+        let local = self.inner.local_target(&snapshot);
+        let Some((service, _)) = local.filter(|(_, target)| {
             self.inner.is_own_service(&request.service) && target.name == request.target
         }) else {
             return PeerAnswer::Refused(Refusal::new(RefusalReason::OtherTarget));
@@ -296,7 +296,7 @@
         async move {
             count(&inner.counters.guard_attempts);
             let wants_hint = attempt.head.wants_hint;
-            let mut answer = inner.run(attempt, admission).await;
+            let mut answer = inner.handle_attempt(attempt, admission).await;
             match &answer.outcome {
                 AttemptOutcome::NotRun(_) => count(&inner.counters.guard_refused),
                 AttemptOutcome::Unknown(_) => count(&inner.counters.guard_unknown),
@@ -333,7 +333,7 @@
     }
 
     /// Returns the service and the target that the configuration lists for this host, if any.
-    fn own_target<'a>(&self, snapshot: &'a ConfigSnapshot) -> Option<(&'a Service, &'a Target)> {
+    fn local_target<'a>(&self, snapshot: &'a ConfigSnapshot) -> Option<(&'a Service, &'a Target)> {
         let service = snapshot.configuration.service(&self.settings.as_ref()?.service)?;
         let target = service.targets.iter().find(|target| target.host == self.host)?;
         Some((service, target))
@@ -349,11 +349,11 @@
         self.settings.as_ref().is_some_and(|settings| settings.service == service)
     }
 
-    /// Returns why a queued call must not start any more: the configuration in force no longer lists its target
+    /// Returns why a queued call must not start any more: the current configuration no longer lists its target
     /// here, or the grace period of the drain is over.
     fn refusal_after_wait(&self, head: &AttemptHead) -> Option<RefusalReason> {
         let snapshot = self.active.load();
-        let is_named = self.own_target(&snapshot).is_some_and(|(_, target)| self.is_named(target, head));
+        let is_named = self.local_target(&snapshot).is_some_and(|(_, target)| self.is_named(target, head));
         if !is_named {
             return Some(RefusalReason::OtherTarget);
         }
@@ -373,14 +373,15 @@
         }
     }
 
-    async fn run(self: &Arc<Self>, attempt: Attempt, admission: Admission) -> AttemptAnswer {
+    /// Checks an attempt and runs it, with its ticket if it has one.
+    async fn handle_attempt(self: &Arc<Self>, attempt: Attempt, admission: Admission) -> AttemptAnswer {
         let Attempt { head, body } = attempt;
         let snapshot = self.active.load();
-        let own = self.own_target(&snapshot);
-        let Some((service, _)) = own.filter(|(_, target)| self.is_named(target, &head)) else {
+        let local = self.local_target(&snapshot);
+        let Some((service, _)) = local.filter(|(_, target)| self.is_named(target, &head)) else {
             let is_starting = snapshot.configuration.fleet.hosts.is_empty();
             let wait_us = if is_starting { NO_FLEET_RETRY_US } else { 0 };
-            return not_run(instance::absent_refusal(wait_us), Some(body));
+            return not_run(instance::other_target_refusal(wait_us), Some(body));
         };
         // The entry may not know yet that the request is quarantined.
         if let Some(refusal) = self.quarantine_refusal(head.digest) {
@@ -388,23 +389,23 @@
         }
         let now_us = self.clock.now_us();
         if let Some(wait_us) = self.identity().refused_for_us(now_us) {
-            return not_run(instance::absent_refusal(wait_us), Some(body));
+            return not_run(instance::other_target_refusal(wait_us), Some(body));
         }
         let deadline_us = now_us + head.budget_us;
         let useful_us = head.useful_us.min(head.budget_us);
         let useful_until_us = now_us + useful_us;
         let limits = service.limits;
         let ticket = head.ticket;
-        let run = PendingAttempt { head, body, admission, deadline_us, useful_until_us, useful_us, limits };
+        let pending =
+            PendingAttempt { head, body, admission, deadline_us, useful_until_us, useful_us, limits };
         match ticket {
-            None => self.run_once(run).await,
-            Some((incarnation, number)) => self.run_ticket(run, incarnation, number).await,
+            None => self.admit_and_run(pending).await,
+            Some((incarnation, number)) => self.run_ticket(pending, incarnation, number).await,
         }
     }
 
-    /// Returns the workspace that the call's share of the slots counts for; one unknown to this node has the default
-    /// weight.
-    fn sharer(&self, head: &AttemptHead) -> WorkspaceShare {
+    /// Returns the workspace that the call counts for at this guard; one unknown to this node has the default weight.
+    fn workspace_share(&self, head: &AttemptHead) -> WorkspaceShare {
         if head.workspace.is_empty() {
             return WorkspaceShare::NO_WORKSPACE;
         }
@@ -417,37 +418,37 @@
     }
 
     /// Admits an attempt and runs it at the target.
-    pub(crate) async fn run_once(self: &Arc<Self>, run: PendingAttempt) -> AttemptAnswer {
-        let ask = AdmissionRequest {
-            rank: Rank::new(run.head.importance, run.head.is_return),
-            workspace_share: self.sharer(&run.head),
-            class: run.head.class,
-            deadline_us: run.deadline_us,
-            useful_until_us: run.useful_until_us,
-            useful_us: run.useful_us,
-            may_hand_back: run.head.may_hand_back && !self.is_baseline,
-            hand_backs: run.head.hand_backs,
-            slow_from_percent: run.head.slow_from_percent.filter(|_| !self.is_baseline),
+    pub(crate) async fn admit_and_run(self: &Arc<Self>, pending: PendingAttempt) -> AttemptAnswer {
+        let request = AdmissionRequest {
+            rank: Rank::new(pending.head.importance, pending.head.is_return),
+            workspace_share: self.workspace_share(&pending.head),
+            class: pending.head.class,
+            deadline_us: pending.deadline_us,
+            useful_until_us: pending.useful_until_us,
+            useful_us: pending.useful_us,
+            may_hand_back: pending.head.may_hand_back && !self.is_baseline,
+            hand_backs: pending.head.hand_backs,
+            slow_from_percent: pending.head.slow_from_percent.filter(|_| !self.is_baseline),
         };
         let queued_us = self.clock.now_us();
-        match self.guard.admit(ask).await {
+        match self.guard.admit(request).await {
             Ok(permit) => {
-                if let Some(reason) = self.refusal_after_wait(&run.head) {
+                if let Some(reason) = self.refusal_after_wait(&pending.head) {
                     permit.release_uncounted();
-                    return refused(reason, Some(run.body));
+                    return refused(reason, Some(pending.body));
                 }
                 // It may have been quarantined while it was queued here.
-                if let Some(refusal) = self.quarantine_refusal(run.head.digest) {
+                if let Some(refusal) = self.quarantine_refusal(pending.head.digest) {
                     permit.release_uncounted();
-                    return not_run(refusal, Some(run.body));
+                    return not_run(refusal, Some(pending.body));
                 }
                 let admitted_us = self.clock.now_us();
                 record_us(&self.latencies.waits, admitted_us - queued_us);
-                let answer = self.send(run, permit).await;
+                let answer = self.prepare_and_run(pending, permit).await;
                 record_us(&self.latencies.runs, self.clock.now_us() - admitted_us);
                 answer
             }
-            Err(refusal) => not_run(refusal, Some(run.body)),
+            Err(refusal) => not_run(refusal, Some(pending.body)),
         }
     }
 }
@@ -460,10 +461,10 @@
     response: Response<Incoming>,
     connection: Option<UsedConnection>,
     permit: Permit,
-    run: WatchedRun,
+    watched_run: WatchedRun,
 }
 
-/// Builds the answer for a broken connection; `ended` is the crash record of the request if the target has crashed.
+/// Builds the answer for a broken connection, with the crash report on the request if the target has crashed.
 fn connection_lost(reason: &'static str, ended: Option<CrashReport>) -> AttemptAnswer {
     let cause = if ended.is_some() { UnknownCause::TargetEnded } else { UnknownCause::AnswerLost(reason) };
     AttemptAnswer { ended, ..AttemptAnswer::new(AttemptOutcome::Unknown(cause)) }
--- a/crates/laurelstall_node/src/target_guard/crash_detection.rs
+++ b/crates/laurelstall_node/src/target_guard/crash_detection.rs
@@ -67,7 +67,7 @@
     /// Records that the target's answer was read completely.
     pub(super) fn note_answered(mut self) {
         if let Some(id) = self.id.take() {
-            self.inner.watch().note_answered(id);
+            self.inner.run_tracker().note_answered(id);
             self.inner.crashes.note_success(self.digest);
         }
     }
@@ -75,22 +75,22 @@
     /// Stops tracking a request that was not sent, or whose end says nothing about the target.
     pub(super) fn forget(mut self) {
         if let Some(id) = self.id.take() {
-            self.inner.watch().forget(id);
+            self.inner.run_tracker().forget(id);
         }
     }
 
-    /// Records that the connection broke before the answer was complete. Returns the crash record of the request if the
+    /// Records that the connection broke before the answer was complete. Returns the crash report on the request if the
     /// target has crashed.
     pub(super) async fn note_broken(mut self, target: &str) -> Option<CrashReport> {
         let id = self.id.take()?;
         let inner = &self.inner;
         let broken_us = inner.clock.now_us();
         // Read before the check, after which the fleet document may already list the next instance.
-        let was_leaving = inner.is_leaving(target);
-        inner.watch().note_broken(id, broken_us);
-        let has_crashed = inner.has_crashed(target, broken_us, was_leaving).await;
-        // A planned stop leaves no crash record.
-        has_crashed.then(|| inner.crashes.reports_of(self.digest)).flatten()
+        let was_stop_planned = inner.is_stop_planned(target);
+        inner.run_tracker().note_broken(id, broken_us);
+        let has_ended = inner.has_ended(target, broken_us, was_stop_planned).await;
+        // A planned stop leaves no crash report.
+        has_ended.then(|| inner.crashes.reports_of(self.digest)).flatten()
     }
 }
 
@@ -98,26 +98,27 @@
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             let now_us = self.inner.clock.now_us();
-            self.inner.watch().note_abandoned(id, now_us);
+            self.inner.run_tracker().note_abandoned(id, now_us);
         }
     }
 }
 
 impl Inner {
-    pub(super) fn watch(&self) -> MutexGuard<'_, RunTracker> {
-        self.watch.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn run_tracker(&self) -> MutexGuard<'_, RunTracker> {
+        self.run_tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Starts tracking a request that is about to be sent to the target.
     pub(super) fn watch_run(self: &Arc<Self>, digest: RequestDigest) -> WatchedRun {
-        let id = self.watch().start(digest, self.clock.now_us());
+        let id = self.run_tracker().start(digest, self.clock.now_us());
         WatchedRun { inner: self.clone(), id: Some(id), digest }
     }
 
-    /// Whether the target named `target`, one of whose connections broke at `broken_us`, has crashed.
+    /// Whether the target named `target`, one of whose connections broke at `broken_us`, has ended, by a crash or a
+    /// planned stop.
     ///
-    /// A crash breaks all connections at once, so one check serves all that broke before it started.
-    async fn has_crashed(&self, target: &str, broken_us: u64, was_leaving: bool) -> bool {
+    /// The end of a target breaks all connections at once, so one check serves all that broke before it started.
+    async fn has_ended(&self, target: &str, broken_us: u64, was_stop_planned: bool) -> bool {
         let mut last = self.crash_check.lock().await;
         if last.started_us < broken_us {
             last.started_us = self.clock.now_us();
@@ -127,21 +128,22 @@
         drop(last);
         match status {
             TargetStatus::Ended => {
-                let ended = self.watch().note_crash(broken_us);
-                self.report_crash(target, &ended, was_leaving);
+                let crash = self.run_tracker().note_crash(broken_us);
+                self.report_crash(target, &crash, was_stop_planned);
             }
-            TargetStatus::Alive => self.watch().note_alive_after_break(),
-            TargetStatus::Unclear => self.watch().note_unknown(broken_us),
+            TargetStatus::Alive => self.run_tracker().note_alive_after_break(),
+            TargetStatus::Unclear => self.run_tracker().note_unknown(broken_us),
         }
         status == TargetStatus::Ended
     }
 
-    /// Records that the target accepted no connection; requests lost just before may have crashed it.
+    /// Records that the target accepted no connection. Requests whose connections broke shortly before may have crashed
+    /// it.
     pub(super) async fn note_no_connection(&self, target: &str) {
         let now_us = self.clock.now_us();
-        if self.watch().has_lost_runs(now_us) {
-            let was_leaving = self.is_leaving(target);
-            self.has_crashed(target, now_us, was_leaving).await;
+        if self.run_tracker().has_lost_runs(now_us) {
+            let was_stop_planned = self.is_stop_planned(target);
+            self.has_ended(target, now_us, was_stop_planned).await;
         }
     }
 
@@ -183,30 +185,30 @@
         }
     }
 
-    /// Logs and counts the end of a target and records it as a crash, unless the target was leaving or no longer
-    /// listed: a planned stop is not attributed to the requests that it interrupted.
-    fn report_crash(&self, target: &str, ended: &CrashedRuns, was_leaving: bool) {
-        if ended.is_first {
+    /// Logs and counts the end of a target and records it as a crash, unless the stop was planned: a planned stop is
+    /// not attributed to the requests that it interrupted.
+    fn report_crash(&self, target: &str, crash: &CrashedRuns, was_stop_planned: bool) {
+        if crash.is_first {
             count(&self.counters.target_ends);
         }
-        if ended.digests.is_empty() {
+        if crash.digests.is_empty() {
             return;
         }
-        let digests = ended.digests.iter().map(RequestDigest::to_string).collect::<Vec<_>>().join(" ");
-        if was_leaving {
+        let digests = crash.digests.iter().map(RequestDigest::to_string).collect::<Vec<_>>().join(" ");
+        if was_stop_planned {
             log::info!(
-                "own target: '{target}' stopped as planned while these requests were running: {digests}"
+                "local target '{target}': stopped as planned while these requests were running: {digests}"
             );
             return;
         }
-        log::warn!("own target: '{target}' crashed while these requests were running: {digests}");
+        log::warn!("local target '{target}': crashed while these requests were running: {digests}");
         let service = self.settings.as_ref().map_or("", |settings| &settings.service);
-        self.crashes.note_crash(self.crash_id(target, ended.number), service, &ended.digests);
+        self.crashes.note_crash(self.crash_id(target, crash.number), service, &crash.digests);
     }
 
     /// Returns the number that identifies the crash on all nodes.
-    fn crash_id(&self, target: &str, end: u64) -> u64 {
-        xxh3_64_with_seed(format!("{target} {end}").as_bytes(), self.incarnation)
+    fn crash_id(&self, target: &str, crash_number: u64) -> u64 {
+        xxh3_64_with_seed(format!("{target} {crash_number}").as_bytes(), self.incarnation)
     }
 
     /// Returns the refusal of a quarantined request; `None` if the request may run.
@@ -220,10 +222,10 @@
         )
     }
 
-    /// Whether the target named `target` is draining or no longer listed.
-    fn is_leaving(&self, target: &str) -> bool {
+    /// Whether a stop of the target named `target` is planned: it is draining or no longer listed.
+    fn is_stop_planned(&self, target: &str) -> bool {
         let snapshot = self.active.load();
-        let is_listed = self.own_target(&snapshot).is_some_and(|(_, own)| own.name == target);
+        let is_listed = self.local_target(&snapshot).is_some_and(|(_, local)| local.name == target);
         self.guard.is_draining() || !is_listed
     }
 }
--- a/crates/laurelstall_node/src/target_guard/forwarding.rs
+++ b/crates/laurelstall_node/src/target_guard/forwarding.rs
@@ -23,9 +23,9 @@
 use tokio::time::{Duration, timeout_at};
 
 /// Maximum size in bytes of a body sent after admission; matches the replay buffer of an entry.
-const GO_BYTES_MAX: usize = 1024 * 1024;
+const ADMITTED_BODY_BYTES_MAX: usize = 1024 * 1024;
 /// Longest time that a reserved slot waits for the body.
-const GO_TIMEOUT: Duration = Duration::from_millis(500);
+const ADMITTED_BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A request ready for the target, with the resources held for it.
 struct PreparedRequest {
@@ -43,15 +43,19 @@
 
 impl Inner {
     /// Prepares an admitted attempt and runs it at the target.
-    pub(super) async fn send(self: &Arc<Self>, run: PendingAttempt, permit: Permit) -> AttemptAnswer {
-        let PendingAttempt { head, body, mut admission, deadline_us, useful_until_us, limits, .. } = run;
+    pub(super) async fn prepare_and_run(
+        self: &Arc<Self>,
+        pending: PendingAttempt,
+        permit: Permit,
+    ) -> AttemptAnswer {
+        let PendingAttempt { head, body, mut admission, deadline_us, useful_until_us, limits, .. } = pending;
         let now_us = self.clock.now_us();
         if now_us >= deadline_us {
             permit.release_uncounted();
             return refused(RefusalReason::Deadline, Some(body));
         }
         let budget_ms = ((deadline_us - now_us) / 1_000).max(1);
-        let target = match self.claim_instance().await {
+        let target = match self.name_to_send_under().await {
             Ok(target) => target,
             Err(refusal) => {
                 permit.release_uncounted();
@@ -115,15 +119,15 @@
     /// cancelling it would leave its effect unknown.
     async fn run_at_target(self: &Arc<Self>, prepared: PreparedRequest) -> AttemptAnswer {
         if prepared.may_repeat {
-            return self.exchange(prepared).await;
+            return self.send_and_read(prepared).await;
         }
         let this = self.clone();
-        let running = tokio::spawn(async move { this.exchange(prepared).await });
+        let running = tokio::spawn(async move { this.send_and_read(prepared).await });
         running.await.unwrap_or_else(|_| unknown("the run broke off"))
     }
 
     /// Sends the request, reads the response and releases what was held.
-    async fn exchange(self: &Arc<Self>, prepared: PreparedRequest) -> AttemptAnswer {
+    async fn send_and_read(self: &Arc<Self>, prepared: PreparedRequest) -> AttemptAnswer {
         let PreparedRequest {
             request,
             headers,
@@ -141,10 +145,13 @@
         };
         let _running = self.running.register(self.dialect.request_id(&headers), run_info);
         let deadline = self.clock.instant_of(deadline_us);
-        let run = self.watch_run(digest);
+        let watched_run = self.watch_run(digest);
         if let Some(draining_us) = self.guard.draining_for_us() {
             count(&self.counters.late_starts);
-            log::info!("own target: a call starts {} ms after the guard began to drain", draining_us / 1_000);
+            log::info!(
+                "local target: a call starts {} ms after the guard began to drain",
+                draining_us / 1_000
+            );
         }
         permit.note_sent();
         let sent = timeout_at(deadline, client.send(request, may_repeat)).await;
@@ -155,13 +162,13 @@
             Err(_) => unknown("time budget spent at the target"),
             Ok(Ok((response, connection))) => {
                 let received =
-                    ReceivedResponse { request: headers, target, response, connection, permit, run };
+                    ReceivedResponse { request: headers, target, response, connection, permit, watched_run };
                 let read = timeout_at(deadline, self.read_response(received, &limits)).await;
                 read.unwrap_or_else(|_| unknown("time budget spent at the target"))
             }
             Ok(Err(TargetError::NoConnection)) => {
                 permit.release_uncounted();
-                run.forget();
+                watched_run.forget();
                 self.note_no_connection(&target).await;
                 self.guard.note_shed();
                 // The next instance to accept connections has just started.
@@ -171,7 +178,7 @@
             Ok(Err(TargetError::Broken)) => {
                 permit.release_uncounted();
                 self.guard.discard_cold_report();
-                connection_lost("connection to the target broke", run.note_broken(&target).await)
+                connection_lost("connection to the target broke", watched_run.note_broken(&target).await)
             }
         }
     }
@@ -179,7 +186,7 @@
 
 /// Receives the body that the entry sends after admission; `None` when the entry or the connection to it is gone.
 async fn receive_body(body: AnswerBody) -> Option<Bytes> {
-    match collect(body, GO_BYTES_MAX, GO_TIMEOUT).await {
+    match collect(body, ADMITTED_BODY_BYTES_MAX, ADMITTED_BODY_TIMEOUT).await {
         Ok(Collected::Complete(bytes)) => Some(bytes),
         Ok(Collected::Partial(_)) | Err(_) => None,
     }
--- a/crates/laurelstall_node/src/target_guard/instance.rs
+++ b/crates/laurelstall_node/src/target_guard/instance.rs
@@ -13,7 +13,7 @@
 use std::sync::{MutexGuard, PoisonError};
 
 /// Builds the refusal of a call that no instance on this host may receive for `wait_us` more.
-pub(super) fn absent_refusal(wait_us: u64) -> Refusal {
+pub(super) fn other_target_refusal(wait_us: u64) -> Refusal {
     let retry_after_ms = wait_us.div_ceil(1_000).try_into().unwrap_or(u32::MAX);
     Refusal::new(RefusalReason::OtherTarget).with_retry_after_ms(retry_after_ms)
 }
@@ -28,20 +28,20 @@
     /// # Errors
     ///
     /// Returns a refusal if no request may be sent now.
-    pub(super) async fn claim_instance(&self) -> Result<String, Refusal> {
-        let can_ask = self.guard.can_query();
-        let mut claim = self.identity().decide_send(can_ask, self.clock.now_us());
-        if claim == SendDecision::QueryFirst {
+    pub(super) async fn name_to_send_under(&self) -> Result<String, Refusal> {
+        let can_query = self.guard.can_query();
+        let mut decision = self.identity().decide_send(can_query, self.clock.now_us());
+        if decision == SendDecision::QueryFirst {
             let _check = self.identity_check.lock().await;
             // Another call may have learned the name while this one waited for the lock.
-            claim = self.identity().decide_send(can_ask, self.clock.now_us());
-            if claim == SendDecision::QueryFirst {
-                claim = self.check_identity().await;
+            decision = self.identity().decide_send(can_query, self.clock.now_us());
+            if decision == SendDecision::QueryFirst {
+                decision = self.check_identity().await;
             }
         }
-        match claim {
+        match decision {
             SendDecision::SendAs(name) => Ok(name),
-            SendDecision::Refuse { wait_us } => Err(absent_refusal(wait_us)),
+            SendDecision::Refuse { wait_us } => Err(other_target_refusal(wait_us)),
             SendDecision::QueryFirst => unreachable!("an identity check never asks for another one"),
         }
     }
@@ -89,7 +89,7 @@
             return Err(TargetError::NoConnection);
         };
         let snapshot = self.active.load();
-        let path = self.own_target(&snapshot).map_or("", |(service, _)| &service.load_path);
+        let path = self.local_target(&snapshot).map_or("", |(service, _)| &service.load_path);
         let query = LoadQuery { settings, client, dialect: &*self.dialect };
         query.report(path).await
     }
@@ -104,12 +104,12 @@
         let is_in_doubt = identity.is_in_doubt();
         drop(identity);
         if before != after {
-            log::info!("own target: instance '{after}', not in the fleet document yet, replaces '{before}'");
+            log::info!("local target '{after}': not in the fleet document yet, replaces '{before}'");
         }
         if is_in_doubt && !was_in_doubt {
             let reported = name.unwrap_or_default();
             log::warn!(
-                "own target: reports the name '{reported}' instead of '{after}'; the next call is sent as a test"
+                "local target '{after}': reports the name '{reported}'; the next call is sent as a test"
             );
         }
     }
@@ -120,7 +120,7 @@
         let was_in_doubt = identity.is_in_doubt();
         identity.note_ran(name);
         if was_in_doubt && !identity.is_in_doubt() {
-            log::info!("own target: runs requests for '{name}' again");
+            log::info!("local target '{name}': runs requests under this name again");
         }
     }
 
@@ -133,7 +133,7 @@
         identity.note_denied(name, self.clock.now_us());
         if !was_in_doubt && identity.is_in_doubt() {
             log::warn!(
-                "own target: refused a request because it is not '{name}'; its name is checked before the next request"
+                "local target '{name}': refused a request as another target; its name is checked before the next request"
             );
         }
     }
--- a/crates/laurelstall_node/src/target_guard/listed_target.rs
+++ b/crates/laurelstall_node/src/target_guard/listed_target.rs
@@ -1,11 +1,11 @@
-//! Applies changes in the fleet document that concern this host and its own target.
+//! Applies changes in the fleet document that concern this host and the local target.
 
 use super::TargetGuard;
 use crate::active_config::ConfigSnapshot;
 use laurelstall_config::{document::DocumentName, fleet::HostState};
 use std::sync::{PoisonError, atomic::Ordering};
 
-/// This host's own target as listed in the fleet document.
+/// The local target as listed in the fleet document.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct ListedTarget {
     /// Name of the target; empty if none is listed.
@@ -26,19 +26,19 @@
 
 impl TargetGuard {
     /// Drains while the host is leaving or its data centre is evacuated; entries may learn of it later.
-    pub(super) fn follow_fleet(&self, snapshot: &ConfigSnapshot) {
+    pub(super) fn update_fleet_drains(&self, snapshot: &ConfigSnapshot) {
         let fleet = &snapshot.configuration.fleet;
         let host = fleet.host(&self.inner.host);
         let is_leaving = host.is_some_and(|host| host.state == HostState::Leaving);
         let is_evacuated = host.is_some_and(|host| fleet.is_evacuated(&host.data_centre));
         if !self.inner.drains.leaving.swap(is_leaving, Ordering::Relaxed) && is_leaving {
             let version = snapshot.configuration.version(&DocumentName::Fleet);
-            log::info!("own host: leaving, according to version {version} of the fleet document");
+            log::info!("this host is leaving according to version {version} of the fleet document");
         }
         let was_evacuated = self.inner.drains.evacuated.swap(is_evacuated, Ordering::Relaxed);
         if was_evacuated != is_evacuated {
             let state = if is_evacuated { "evacuated" } else { "no longer evacuated" };
-            log::info!("own data centre is {state}");
+            log::info!("this host's data centre is {state}");
             // The target may have become cold while it received no calls.
             self.inner.guard.discard_cold_report();
         }
@@ -46,12 +46,12 @@
     }
 
     /// Updates the listed target of this host, and with it the cold start and the expected instance name.
-    pub(super) fn note_own_target(&self, name: Option<&str>, snapshot: &ConfigSnapshot) {
+    pub(super) fn update_listed_target(&self, name: Option<&str>, snapshot: &ConfigSnapshot) {
         let name = name.unwrap_or_default();
         let fleet = &snapshot.configuration.fleet;
-        let own = fleet.targets.iter().find(|target| target.name == name);
-        let cold_ms = own.map_or(0, |target| target.cold_ms);
-        let started_unix_ms = own.map_or(0, |target| target.started_unix_ms);
+        let local = fleet.targets.iter().find(|target| target.name == name);
+        let cold_ms = local.map_or(0, |target| target.cold_ms);
+        let started_unix_ms = local.map_or(0, |target| target.started_unix_ms);
         let now_listed = ListedTarget { name: name.to_owned(), cold_ms, started_unix_ms };
         let mut listed = self.inner.listed.lock().unwrap_or_else(PoisonError::into_inner);
         if *listed == now_listed {
@@ -69,7 +69,7 @@
         }
         let version = snapshot.configuration.version(&DocumentName::Fleet);
         log::info!(
-            "own target: '{name}' replaces '{}' in version {version} of the fleet document",
+            "local target '{name}': replaces '{}' in version {version} of the fleet document",
             before.name
         );
         self.inner.guard.discard_cold_report();
@@ -79,7 +79,7 @@
     /// Resets what is known of the target after a restart under the same name. The ticket ledger is kept, so that the
     /// calls of its tickets still run at most once.
     fn note_restart(&self, name: &str, started_unix_ms: u64) {
-        log::info!("own target: '{name}' restarted at Unix time {started_unix_ms} ms of its own clock");
+        log::info!("local target '{name}': restarted at Unix time {started_unix_ms} ms of its own clock");
         self.inner.guard.discard_cold_report();
         self.inner.identity().reset_to_listed_name();
         if let Some(client) = &self.inner.client {
--- a/crates/laurelstall_node/src/target_guard/responses.rs
+++ b/crates/laurelstall_node/src/target_guard/responses.rs
@@ -32,7 +32,7 @@
         received: ReceivedResponse,
         limits: &ServiceLimits,
     ) -> AttemptAnswer {
-        let ReceivedResponse { request, target, response, connection, permit, run } = received;
+        let ReceivedResponse { request, target, response, connection, permit, watched_run } = received;
         let (parts, body) = response.into_parts();
         let status = parts.status;
         let mut headers = parts.headers;
@@ -48,13 +48,13 @@
             AnswerKind::OtherTarget => Some(RefusalReason::Replaced),
             AnswerKind::WrongRequest => {
                 permit.release_uncounted();
-                run.forget();
+                watched_run.forget();
                 return unknown("the target answered another request");
             }
         };
         if let Some(reason) = refusal {
             permit.release_uncounted();
-            run.forget();
+            watched_run.forget();
             if reason == RefusalReason::Shed {
                 count(&self.counters.target_sheds);
                 self.guard.note_shed();
@@ -69,20 +69,20 @@
         let outcome = match collect(body, BUFFERED_BYTES_MAX, BUFFERING_TIMEOUT).await {
             Ok(Collected::Complete(bytes)) => {
                 drop(permit);
-                run.note_answered();
+                watched_run.note_answered();
                 if let Some(connection) = connection {
                     connection.give_back();
                 }
                 AttemptOutcome::Answered { status, headers, body: full_body(bytes) }
             }
             Ok(Collected::Partial(body)) => {
-                let body = self.watched_body(body, permit, run, connection);
+                let body = self.watched_body(body, permit, watched_run, connection);
                 AttemptOutcome::Answered { status, headers, body }
             }
             Err(_) => {
                 count(&self.counters.bodies_broken);
                 permit.release_uncounted();
-                return connection_lost("answer broke off", run.note_broken(&target).await);
+                return connection_lost("answer broke off", watched_run.note_broken(&target).await);
             }
         };
         AttemptAnswer::new(outcome)
@@ -93,14 +93,14 @@
         &self,
         body: AnswerBody,
         permit: Permit,
-        run: WatchedRun,
+        watched_run: WatchedRun,
         connection: Option<UsedConnection>,
     ) -> AnswerBody {
         let counters = self.counters.clone();
         let body = WatchedBody::new(body, move |is_whole| {
             if is_whole {
                 drop(permit);
-                run.note_answered();
+                watched_run.note_answered();
                 if let Some(connection) = connection {
                     connection.give_back();
                 }
--- a/crates/laurelstall_node/src/target_http.rs
+++ b/crates/laurelstall_node/src/target_http.rs
@@ -1,4 +1,4 @@
-//! HTTP client for this host's own target.
+//! HTTP client for the local target.
 
 use crate::{
     body::{empty_body, full_body},
--- a/crates/laurelstall_node/src/target_pool.rs
+++ b/crates/laurelstall_node/src/target_pool.rs
@@ -1,4 +1,4 @@
-//! Pool of HTTP/1.1 connections to this host's own target.
+//! Pool of HTTP/1.1 connections to the local target.
 //!
 //! A request that must not be repeated is lost if its connection turns out to be closed, so it is sent only on a
 //! recently used connection or a new one.
--- a/crates/laurelstall_node/src/ticket_runs.rs
+++ b/crates/laurelstall_node/src/ticket_runs.rs
@@ -24,15 +24,15 @@
     /// Runs the call of a ticket, or waits for or repeats the answer of its earlier run.
     pub(crate) async fn run_ticket(
         self: &Arc<Self>,
-        run: PendingAttempt,
+        pending: PendingAttempt,
         incarnation: u64,
         number: u64,
     ) -> AttemptAnswer {
-        let deadline = self.clock.instant_of(run.deadline_us);
+        let deadline = self.clock.instant_of(pending.deadline_us);
         loop {
-            let begin = self.ledger().use_ticket(incarnation, number, self.clock.now_us());
-            match begin {
-                TicketUse::FirstUse(token) => return self.run_detached(run, token).await,
+            let ticket_use = self.ledger().use_ticket(incarnation, number, self.clock.now_us());
+            match ticket_use {
+                TicketUse::FirstUse(token) => return self.run_detached(pending, token).await,
                 TicketUse::Answered(answer) => {
                     count(&self.counters.tickets_kept);
                     return AttemptAnswer::new(kept_outcome(&answer));
@@ -50,12 +50,12 @@
     }
 
     /// Runs a ticket's call to its end even if the caller disconnects; a retry then gets the answer.
-    async fn run_detached(self: &Arc<Self>, run: PendingAttempt, token: RunToken) -> AttemptAnswer {
+    async fn run_detached(self: &Arc<Self>, pending: PendingAttempt, token: RunToken) -> AttemptAnswer {
         let this = self.clone();
         let (sender, receiver) = oneshot::channel();
         tokio::spawn(async move {
-            let kept_answer_bytes = run.limits.kept_answer_bytes;
-            let answer = this.run_once(run).await;
+            let kept_answer_bytes = pending.limits.kept_answer_bytes;
+            let answer = this.admit_and_run(pending).await;
             let answer = this.end_ticket(answer, token, kept_answer_bytes).await;
             // The caller may have disconnected; the ledger keeps the outcome.
             let _ = sender.send(answer);
@@ -91,6 +91,7 @@
         token: RunToken,
         kept_bytes: usize,
     ) -> AttemptOutcome {
+        // Longest time to read an answer that is to be kept.
         let timeout = Duration::from_secs(30);
         match collect(body, kept_bytes, timeout).await {
             Ok(Collected::Complete(bytes)) => {
--- a/crates/laurelstall_node/tests/running_requests.rs
+++ b/crates/laurelstall_node/tests/running_requests.rs
@@ -1,4 +1,4 @@
-//! Tests the tracking of requests that run at a host's own target.
+//! Tests the tracking of requests that run at the local target.
 
 use laurelstall_node::running_requests::{RunInfo, RunningRequests};
 use std::sync::Arc;
