--- a/crates/laurelstall_node/benches/decisions.rs
+++ b/crates/laurelstall_node/benches/decisions.rs
@@ -61,7 +61,7 @@
         for index in 0..targets {
             balancer.update_hint(index, &format!("target-{index}"), hint(index as u32 % 12), 1_000_000);
         }
-        let choosing = ChoiceRequest {
+        let choice_request = ChoiceRequest {
             excluded: &[],
             only: None,
             data_centres: None,
@@ -71,7 +71,7 @@
             now_us: 1_001_000,
         };
         criterion.bench_function(&format!("choice among {targets}"), |b| {
-            b.iter(|| balancer.choose(black_box(&choosing)))
+            b.iter(|| balancer.choose(black_box(&choice_request)))
         });
     }
 }
@@ -132,7 +132,7 @@
     let registry = CrashRegistry::new(Clock::new());
     let digest = RequestDigest::of_whole(&head, &body);
     criterion.bench_function("verdict, while nothing is held back", |b| {
-        b.iter(|| registry.request_status(black_box(digest)));
+        b.iter(|| registry.quarantine_status(black_box(digest)));
     });
     criterion.bench_function("good run noted", |b| b.iter(|| registry.note_success(black_box(digest))));
     for end in 0..40 {
@@ -140,7 +140,7 @@
         registry.note_crash(end, "team/service", &digests.collect::<Vec<_>>());
     }
     criterion.bench_function("verdict, with 256 requests known", |b| {
-        b.iter(|| registry.request_status(black_box(digest)));
+        b.iter(|| registry.quarantine_status(black_box(digest)));
     });
 }
 
--- a/crates/laurelstall_node/src/call/retries.rs
+++ b/crates/laurelstall_node/src/call/retries.rs
@@ -29,7 +29,7 @@
         self.record_outcome(destination, &answer);
         match answer.outcome {
             AttemptOutcome::Answered { status, headers, body } => {
-                if status.is_server_error() && self.try_retry(None) {
+                if status.is_server_error() && self.may_retry(None) {
                     self.excluded.push(destination.choice.index);
                     self.fallback = Some(FallbackAnswer { status, headers, body });
                     return NextAction::Retry;
@@ -42,10 +42,10 @@
                 self.handle_refusal(destination, refusal)
             }
             AttemptOutcome::Unknown(cause) => {
-                self.is_unknown = true;
+                self.has_unknown_attempt = true;
                 let is_suspect =
-                    cause == UnknownCause::TargetEnded && self.is_crash_suspect(answer.ended.take());
-                if !is_suspect && self.try_retry(None) {
+                    cause == UnknownCause::TargetEnded && self.merge_and_check_suspect(answer.ended.take());
+                if !is_suspect && self.may_retry(None) {
                     self.excluded.push(destination.choice.index);
                     return NextAction::Retry;
                 }
@@ -70,7 +70,7 @@
                 return NextAction::Retry;
             }
             NextStep::SkipSlow => {
-                self.slow.push(index);
+                self.slow_refusers.push(index);
                 return NextAction::Retry;
             }
             _ if self.request.ticket.is_some() => return NextAction::Finish(self.give_up(refusal.reason)),
@@ -80,8 +80,8 @@
             }
         }
         let may_continue = match next {
-            NextStep::RetryLimited => self.try_reroute(),
-            NextStep::RetryBudgeted => self.try_retry(Some(refusal)),
+            NextStep::RetryLimited => self.may_try_another_guard(),
+            NextStep::RetryBudgeted => self.may_retry(Some(refusal)),
             _ => true,
         };
         if !may_continue {
@@ -93,27 +93,26 @@
         NextAction::Retry
     }
 
-    /// Counts the refusal of a guard without capacity and decides whether another guard is tried.
+    /// Whether another guard may be tried after one without capacity refused the call.
     ///
     /// A nested call tries a few guards without spending retry budget: if it fails, the work of the call that waits for
     /// it is lost.
-    fn try_reroute(&mut self) -> bool {
-        self.refusals += 1;
+    fn may_try_another_guard(&mut self) -> bool {
+        self.overload_refusals += 1;
         if self.request.is_nested {
-            return self.refusals < NESTED_REFUSALS_MAX;
+            return self.overload_refusals < NESTED_REFUSALS_MAX;
         }
         let now_us = self.context.clock.now_us();
-        self.refusals < self.request.route.tries && self.service.balancer().try_withdraw_reroute(now_us)
+        self.overload_refusals < self.request.route.tries && self.service.balancer().may_reroute(now_us)
     }
 
-    /// Counts the attempt and decides whether the call makes another, within the `tries` of its route and the
-    /// service's retry budget.
+    /// Whether the call may make another attempt, within the `tries` of its route and the service's retry budget.
     ///
     /// After a refusal a retry is always safe; otherwise the route must allow the request to run more than once.
-    fn try_retry(&mut self, refusal: Option<Refusal>) -> bool {
+    fn may_retry(&mut self, refusal: Option<Refusal>) -> bool {
         let is_safe = refusal.is_some() || self.request.route.may_repeat;
         // A refused attempt did not run, so refusals are counted separately.
-        let counted = if refusal.is_some() { &mut self.refusals } else { &mut self.possible_runs };
+        let counted = if refusal.is_some() { &mut self.overload_refusals } else { &mut self.possible_runs };
         *counted += 1;
         if !is_safe || *counted >= self.request.route.tries {
             return false;
@@ -126,7 +125,7 @@
         }
         let is_granted = {
             let now_us = self.context.clock.now_us();
-            self.service.balancer().try_withdraw_retry(self.request.budget_importance, now_us)
+            self.service.balancer().may_retry(self.request.budget_importance, now_us)
         };
         count(if is_granted {
             &self.context.counters.retries
@@ -136,12 +135,13 @@
         is_granted
     }
 
-    /// Returns the outcome of a call that makes no more attempts; `reason` applies if no attempt was refused.
+    /// Returns the outcome of a call that makes no more attempts: a kept server error, `Unknown` if an attempt may have
+    /// run, or the last refusal. `reason` applies if no attempt was refused, or the last one was only handed back.
     pub(super) fn give_up(&mut self, reason: RefusalReason) -> CallOutcome {
         if let Some(FallbackAnswer { status, headers, body }) = self.fallback.take() {
             return CallOutcome::Answered { status, headers, body };
         }
-        if self.is_unknown {
+        if self.has_unknown_attempt {
             return CallOutcome::Unknown("an earlier attempt may have run");
         }
         if self.is_ticket_unresolved() {
--- a/crates/laurelstall_node/src/services.rs
+++ b/crates/laurelstall_node/src/services.rs
@@ -23,8 +23,11 @@
     /// Full name, `team/service`.
     pub name: String,
     balancer: Mutex<ServiceBalancer>,
+    /// Addresses at which the nodes of the targets' hosts accept other nodes, by host.
     addresses: Mutex<HashMap<String, SocketAddr>>,
+    /// Generation of the snapshot that the state was updated to.
     generation: AtomicU64,
+    /// Time of the last call, in µs of the node's clock.
     used_at_us: AtomicU64,
 }
 
@@ -39,18 +42,18 @@
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner).get(host).copied()
     }
 
-    /// Returns index, name and node address of the target with the oldest load hint, among those for whose
-    /// address `has_connection` is true and whose hint is at least `age_min_us` old.
-    pub fn target_with_oldest_hint(
+    /// Returns index, name and node address of the target with the oldest load hint, among those whose address
+    /// `is_reached` and whose hint is at least `age_min_us` old.
+    pub fn stalest(
         &self,
         now_us: u64,
         age_min_us: u64,
-        has_connection: impl Fn(SocketAddr) -> bool,
+        is_reached: impl Fn(SocketAddr) -> bool,
     ) -> Option<(usize, String, SocketAddr)> {
         let (index, name, host) = {
             let mut balancer = self.balancer();
-            let has_connection = |host: &str| self.address(host).is_some_and(&has_connection);
-            let index = balancer.target_with_oldest_hint(now_us, age_min_us, has_connection)?;
+            let is_reached = |host: &str| self.address(host).is_some_and(&is_reached);
+            let index = balancer.stalest(now_us, age_min_us, is_reached)?;
             let view = &balancer.targets()[index];
             (index, view.name.clone(), view.host.clone())
         };
@@ -66,9 +69,9 @@
             view.started_unix_ms = target.started_unix_ms;
             let host = configuration.host(&target.host);
             view.data_centre = host.map(|host| host.data_centre.clone()).unwrap_or_default();
-            let is_far = host.is_some_and(|host| host.data_centre != location.data_centre);
+            let is_remote = host.is_some_and(|host| host.data_centre != location.data_centre);
             view.remote_cost_percent =
-                if is_far { configuration.system.data_centre_change_percent } else { 0 };
+                if is_remote { configuration.system.data_centre_change_percent } else { 0 };
             view.is_live = host.is_some_and(|host| configuration.fleet.accepts_calls(host));
             view
         });
