--- a/crates/laurelstall_node/benches/decisions.rs
+++ b/crates/laurelstall_node/benches/decisions.rs
@@ -132,7 +132,7 @@
     let registry = CrashRegistry::new(Clock::new());
     let digest = RequestDigest::of_whole(&head, &body);
     criterion.bench_function("verdict, while nothing is held back", |b| {
-        b.iter(|| registry.quarantine_status(black_box(digest)));
+        b.iter(|| registry.request_status(black_box(digest)));
     });
     criterion.bench_function("good run noted", |b| b.iter(|| registry.note_success(black_box(digest))));
     for end in 0..40 {
@@ -140,7 +140,7 @@
         registry.note_crash(end, "team/service", &digests.collect::<Vec<_>>());
     }
     criterion.bench_function("verdict, with 256 requests known", |b| {
-        b.iter(|| registry.quarantine_status(black_box(digest)));
+        b.iter(|| registry.request_status(black_box(digest)));
     });
 }
 
--- a/crates/laurelstall_node/src/admin.rs
+++ b/crates/laurelstall_node/src/admin.rs
@@ -25,7 +25,7 @@
     problem::Problem,
     settings::{Role, TokenSettings},
 };
-use laurelstall_crash::crash_table::{QuarantineStatus, SuspectState};
+use laurelstall_crash::crash_table::{RequestStatus, SuspectState};
 use laurelstall_peer::{body::AnswerBody, replicator::Replicator};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json as value};
@@ -123,7 +123,7 @@
 
 /// A request that was running when targets crashed.
 #[derive(Debug, Serialize)]
-struct QuarantineRow {
+struct SuspectRow {
     digest: String,
     service: String,
     state: &'static str,
@@ -133,20 +133,20 @@
     retry_after_ms: Option<u64>,
 }
 
-impl From<SuspectState> for QuarantineRow {
+impl From<SuspectState> for SuspectRow {
     fn from(state: SuspectState) -> Self {
-        let (state_name, retry_after_ms) = match state.quarantine_status {
-            QuarantineStatus::Harmless => ("harmless", None),
-            QuarantineStatus::Suspected(_) => ("suspected", None),
-            QuarantineStatus::Quarantined { retry_after_ms } => ("held", Some(retry_after_ms)),
-            QuarantineStatus::HalfOpen => ("trial", None),
+        let (state_name, retry_after_ms) = match state.request_status {
+            RequestStatus::Harmless => ("harmless", None),
+            RequestStatus::Suspected(_) => ("suspected", None),
+            RequestStatus::Quarantined { retry_after_ms } => ("held", Some(retry_after_ms)),
+            RequestStatus::HalfOpen => ("trial", None),
         };
         Self {
             digest: state.digest.to_string(),
             service: state.service,
             state: state_name,
-            ends: state.ends,
-            last_end_age_ms: state.last_end_age_ms,
+            ends: state.crashes,
+            last_end_age_ms: state.last_crash_age_ms,
             retry_after_ms,
         }
     }
@@ -216,7 +216,7 @@
             (&Method::GET, "/v1/config") => json(StatusCode::OK, &self.config()),
             (&Method::GET, "/v1/decisions") => json(StatusCode::OK, &self.decisions(&client)),
             (&Method::GET, "/v1/workspaces") => json(StatusCode::OK, &self.workspaces(&client)),
-            (&Method::GET, "/v1/held") => json(StatusCode::OK, &self.quarantined(&client)),
+            (&Method::GET, "/v1/held") => json(StatusCode::OK, &self.suspects(&client)),
             (&Method::POST, "/v1/check") => check(body).await,
             (&Method::POST, "/v1/drain") => self.drain(&client, true),
             (&Method::POST, "/v1/undrain") => self.drain(&client, false),
@@ -400,9 +400,9 @@
     }
 
     /// Lists requests that were running when targets crashed.
-    fn quarantined(&self, client: &Client) -> Vec<QuarantineRow> {
+    fn suspects(&self, client: &Client) -> Vec<SuspectRow> {
         let states = self.replicator.crashes().suspects().into_iter();
-        states.filter(|state| client.may_see(&state.service)).map(QuarantineRow::from).collect()
+        states.filter(|state| client.may_see(&state.service)).map(SuspectRow::from).collect()
     }
 
     /// Releases a quarantined request at all nodes.
--- a/crates/laurelstall_node/src/call/attempts.rs
+++ b/crates/laurelstall_node/src/call/attempts.rs
@@ -59,7 +59,7 @@
     /// no other target is eligible.
     fn start_hedge(&mut self, first: &Destination) -> Option<(Destination, BoxFuture<'a, AttemptAnswer>)> {
         let now_us = self.context.clock.now_us();
-        if !self.service.balancer().may_hedge(now_us) {
+        if !self.service.balancer().try_withdraw_hedge(now_us) {
             return None;
         }
         self.excluded.push(first.choice.index);
--- a/crates/laurelstall_node/src/call/outcomes.rs
+++ b/crates/laurelstall_node/src/call/outcomes.rs
@@ -43,12 +43,12 @@
         let properties = refusal.reason.properties();
         let mut balancer = self.service.balancer();
         if properties.has_reached_target() && self.attempts == 1 {
-            balancer.note_rejected(now_us);
+            balancer.note_refused_by_target(now_us);
         }
         match properties.signal {
             TargetSignal::Full => balancer.note_queueing(index, name, true, now_us),
             TargetSignal::Queueing => balancer.note_queueing(index, name, false, now_us),
-            TargetSignal::Slow => balancer.note_slow(index, name, refusal.slowness_percent, now_us),
+            TargetSignal::Slow => balancer.note_slow_refusal(index, name, refusal.slowness_percent, now_us),
             TargetSignal::ColdLimit => balancer.note_cold_limit(index, name, refusal.retry_after_ms, now_us),
             TargetSignal::Draining => balancer.note_draining(index, name, now_us),
             TargetSignal::Unreachable => balancer.note_absent(index, name, refusal.retry_after_ms, now_us),
@@ -95,7 +95,7 @@
             fleet_version: self.snapshot.configuration.version(&DocumentName::Fleet),
             target: destination.name.clone(),
             why: destination.choice_reason.clone(),
-            expected_us: destination.choice.score_us as u64,
+            expected_us: destination.choice.cost_us as u64,
             hint_age_us: destination.hint_age_us,
             runner_up: destination.runner_up.clone(),
             targets: destination.targets,
--- a/crates/laurelstall_node/src/call/quarantine.rs
+++ b/crates/laurelstall_node/src/call/quarantine.rs
@@ -1,7 +1,7 @@
 //! Refuses calls whose requests are quarantined because they crash targets.
 
 use super::Call;
-use laurelstall_crash::{crash_record::CrashReport, crash_table::QuarantineStatus};
+use laurelstall_crash::{crash_record::CrashReport, crash_table::RequestStatus};
 use laurelstall_guard::refusal::{Refusal, RefusalReason};
 use laurelstall_peer::partners::is_trial_host;
 
@@ -15,9 +15,9 @@
 impl Call<'_> {
     /// Returns the refusal of a quarantined request; `None` if the request may be sent.
     pub(super) fn quarantine_refusal(&self) -> Option<Refusal> {
-        let retry_after_ms = match self.context.crashes.quarantine_status(self.request.digest) {
-            QuarantineStatus::Quarantined { retry_after_ms } => retry_after_ms,
-            QuarantineStatus::HalfOpen if !self.begin_local_trial() => TRIAL_ELSEWHERE_RETRY_MS,
+        let retry_after_ms = match self.context.crashes.request_status(self.request.digest) {
+            RequestStatus::Quarantined { retry_after_ms } => retry_after_ms,
+            RequestStatus::HalfOpen if !self.begin_local_trial() => TRIAL_ELSEWHERE_RETRY_MS,
             _ => return None,
         };
         let refusal = Refusal::new(RefusalReason::Quarantined);
@@ -35,10 +35,10 @@
     pub(super) fn merge_and_check_suspect(&self, report: Option<CrashReport>) -> bool {
         let crashes = &self.context.crashes;
         crashes.merge_reports(report.as_slice());
-        match crashes.quarantine_status(self.request.digest) {
-            QuarantineStatus::Harmless => false,
-            QuarantineStatus::Suspected(crash_count) => crash_count > RETRIED_CRASHES_MAX,
-            QuarantineStatus::Quarantined { .. } | QuarantineStatus::HalfOpen => true,
+        match crashes.request_status(self.request.digest) {
+            RequestStatus::Harmless => false,
+            RequestStatus::Suspected(crash_count) => crash_count > RETRIED_CRASHES_MAX,
+            RequestStatus::Quarantined { .. } | RequestStatus::HalfOpen => true,
         }
     }
 }
--- a/crates/laurelstall_node/src/call/retries.rs
+++ b/crates/laurelstall_node/src/call/retries.rs
@@ -29,7 +29,7 @@
         self.record_outcome(destination, &answer);
         match answer.outcome {
             AttemptOutcome::Answered { status, headers, body } => {
-                if status.is_server_error() && self.may_retry(None) {
+                if status.is_server_error() && self.try_retry(None) {
                     self.excluded.push(destination.choice.index);
                     self.fallback = Some(FallbackAnswer { status, headers, body });
                     return NextAction::Retry;
@@ -45,7 +45,7 @@
                 self.has_unknown_attempt = true;
                 let is_suspect =
                     cause == UnknownCause::TargetEnded && self.merge_and_check_suspect(answer.ended.take());
-                if !is_suspect && self.may_retry(None) {
+                if !is_suspect && self.try_retry(None) {
                     self.excluded.push(destination.choice.index);
                     return NextAction::Retry;
                 }
@@ -80,8 +80,8 @@
             }
         }
         let may_continue = match next {
-            NextStep::RetryLimited => self.may_try_another_guard(),
-            NextStep::RetryBudgeted => self.may_retry(Some(refusal)),
+            NextStep::RetryLimited => self.try_reroute(),
+            NextStep::RetryBudgeted => self.try_retry(Some(refusal)),
             _ => true,
         };
         if !may_continue {
@@ -93,23 +93,25 @@
         NextAction::Retry
     }
 
-    /// Whether another guard may be tried after one without capacity refused the call.
+    /// Counts the refusal of a guard without capacity and decides whether another guard is tried.
     ///
     /// A nested call tries a few guards without spending retry budget: if it fails, the work of the call that waits for
     /// it is lost.
-    fn may_try_another_guard(&mut self) -> bool {
+    fn try_reroute(&mut self) -> bool {
         self.overload_refusals += 1;
         if self.request.is_nested {
             return self.overload_refusals < NESTED_REFUSALS_MAX;
         }
         let now_us = self.context.clock.now_us();
-        self.overload_refusals < self.request.route.tries && self.service.balancer().may_reroute(now_us)
+        self.overload_refusals < self.request.route.tries
+            && self.service.balancer().try_withdraw_reroute(now_us)
     }
 
-    /// Whether the call may make another attempt, within the `tries` of its route and the service's retry budget.
+    /// Counts the attempt and decides whether the call makes another, within the `tries` of its route and the
+    /// service's retry budget.
     ///
     /// After a refusal a retry is always safe; otherwise the route must allow the request to run more than once.
-    fn may_retry(&mut self, refusal: Option<Refusal>) -> bool {
+    fn try_retry(&mut self, refusal: Option<Refusal>) -> bool {
         let is_safe = refusal.is_some() || self.request.route.may_repeat;
         // A refused attempt did not run, so refusals are counted separately.
         let counted = if refusal.is_some() { &mut self.overload_refusals } else { &mut self.possible_runs };
@@ -125,7 +127,7 @@
         }
         let is_granted = {
             let now_us = self.context.clock.now_us();
-            self.service.balancer().may_retry(self.request.budget_importance, now_us)
+            self.service.balancer().try_withdraw_retry(self.request.budget_importance, now_us)
         };
         count(if is_granted {
             &self.context.counters.retries
--- a/crates/laurelstall_node/src/call/target_probes.rs
+++ b/crates/laurelstall_node/src/call/target_probes.rs
@@ -3,7 +3,7 @@
 use super::CallContext;
 use crate::services::ServiceState;
 use futures_util::future::join_all;
-use laurelstall_balance::service_balancer::QueryTarget;
+use laurelstall_balance::service_balancer::ProbeTarget;
 use tokio::time::{Duration, timeout};
 
 /// Maximum number of targets probed for one call.
@@ -14,7 +14,7 @@
 /// Probes the load of a few nearby targets of the service, if the balancer requests it and the observation budget
 /// allows it. Uses only connections that are already open.
 pub(super) async fn probe_targets(context: &CallContext, service: &ServiceState) {
-    let probed = service.balancer().targets_to_query(PROBED_TARGETS_MAX, context.clock.now_us());
+    let probed = service.balancer().targets_to_probe(PROBED_TARGETS_MAX, context.clock.now_us());
     if probed.is_empty() {
         return;
     }
@@ -23,7 +23,7 @@
     let _ = timeout(PROBE_TIMEOUT, join_all(probes)).await;
 }
 
-async fn probe_target(context: &CallContext, service: &ServiceState, target: &QueryTarget) {
+async fn probe_target(context: &CallContext, service: &ServiceState, target: &ProbeTarget) {
     let address = service.address(&target.host).filter(|address| context.client.pool().has(*address));
     let Some(address) = address else { return };
     if let Some(hint) = context.observer.probe(&context.client, address).await {
--- a/crates/laurelstall_node/src/dialect.rs
+++ b/crates/laurelstall_node/src/dialect.rs
@@ -40,8 +40,8 @@
     Ran,
     /// The target shed the request without running it, because of overload.
     Shed,
-    /// The target refused the request without running it, because it was meant for another target.
-    OtherTarget,
+    /// The target refused the request without running it, denying that it is the target named in the request.
+    Denied,
     /// The answer belongs to another request.
     WrongRequest,
 }
--- a/crates/laurelstall_node/src/observer.rs
+++ b/crates/laurelstall_node/src/observer.rs
@@ -94,8 +94,9 @@
                 let now_us = self.clock.now_us();
                 // Only targets with an open connection are probed: opening one costs more than the hint is worth.
                 let has_connection = |address| client.pool().has(address);
-                let stalest = service.stalest(now_us, PROBE_AGE_US, has_connection);
-                let Some((index, name, address)) = stalest else { continue };
+                let target_with_oldest_hint =
+                    service.target_with_oldest_hint(now_us, PROBE_AGE_US, has_connection);
+                let Some((index, name, address)) = target_with_oldest_hint else { continue };
                 if let Some(hint) = self.probe(client, address).await {
                     service.balancer().update_hint(index, &name, hint, self.clock.now_us());
                 }
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -306,7 +306,7 @@
         let data_centre = &self.options.data_centre;
         self.with_owners(workspace, |owners| {
             owners.set_fleet(fleet, workspace, split.shares, data_centre);
-            owners.owners_to_ask(now_us)
+            owners.owners_in_order(now_us)
         })
     }
 
--- a/crates/laurelstall_node/src/services.rs
+++ b/crates/laurelstall_node/src/services.rs
@@ -42,18 +42,18 @@
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner).get(host).copied()
     }
 
-    /// Returns index, name and node address of the target with the oldest load hint, among those whose address
-    /// `is_reached` and whose hint is at least `age_min_us` old.
-    pub fn stalest(
+    /// Returns index, name and node address of the target with the oldest load hint, among those for whose
+    /// address `has_connection` is true and whose hint is at least `age_min_us` old.
+    pub fn target_with_oldest_hint(
         &self,
         now_us: u64,
         age_min_us: u64,
-        is_reached: impl Fn(SocketAddr) -> bool,
+        has_connection: impl Fn(SocketAddr) -> bool,
     ) -> Option<(usize, String, SocketAddr)> {
         let (index, name, host) = {
             let mut balancer = self.balancer();
-            let is_reached = |host: &str| self.address(host).is_some_and(&is_reached);
-            let index = balancer.stalest(now_us, age_min_us, is_reached)?;
+            let has_connection = |host: &str| self.address(host).is_some_and(&has_connection);
+            let index = balancer.target_with_oldest_hint(now_us, age_min_us, has_connection)?;
             let view = &balancer.targets()[index];
             (index, view.name.clone(), view.host.clone())
         };
--- a/crates/laurelstall_node/src/target_guard/crash_detection.rs
+++ b/crates/laurelstall_node/src/target_guard/crash_detection.rs
@@ -7,7 +7,7 @@
 use crate::{counters::count, target_http::TargetError};
 use laurelstall_crash::{
     crash_record::CrashReport,
-    crash_table::QuarantineStatus,
+    crash_table::RequestStatus,
     request_digest::RequestDigest,
     run_tracker::{CrashedRuns, RunId, RunTracker},
 };
@@ -132,7 +132,7 @@
                 self.report_crash(target, &crash, was_stop_planned);
             }
             TargetStatus::Alive => self.run_tracker().note_alive_after_break(),
-            TargetStatus::Unclear => self.run_tracker().note_unknown(broken_us),
+            TargetStatus::Unclear => self.run_tracker().note_check_inconclusive(broken_us),
         }
         status == TargetStatus::Ended
     }
@@ -213,7 +213,7 @@
 
     /// Returns the refusal of a quarantined request; `None` if the request may run.
     pub(super) fn quarantine_refusal(&self, digest: RequestDigest) -> Option<Refusal> {
-        let QuarantineStatus::Quarantined { retry_after_ms } = self.crashes.quarantine_status(digest) else {
+        let RequestStatus::Quarantined { retry_after_ms } = self.crashes.request_status(digest) else {
             return None;
         };
         Some(
--- a/crates/laurelstall_node/src/target_guard/responses.rs
+++ b/crates/laurelstall_node/src/target_guard/responses.rs
@@ -45,7 +45,7 @@
                 None
             }
             AnswerKind::Shed => Some(RefusalReason::Shed),
-            AnswerKind::OtherTarget => Some(RefusalReason::Replaced),
+            AnswerKind::Denied => Some(RefusalReason::Replaced),
             AnswerKind::WrongRequest => {
                 permit.release_uncounted();
                 watched_run.forget();
