--- a/crates/laurelstall_guard/tests/admission.rs
+++ b/crates/laurelstall_guard/tests/admission.rs
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_queued_call_is_handed_back_after_a_usual_service_time() {
+async fn a_queued_call_is_handed_back_after_a_typical_run_time() {
     let (guard, clock) = guard();
     record_run(&guard, &clock, 0, 5).await;
     let _held = (guard.admit(request(&clock, 5, 5_000)).await, guard.admit(request(&clock, 5, 5_000)).await);
--- a/crates/laurelstall_guard/tests/workspaces.rs
+++ b/crates/laurelstall_guard/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! A target shared by several workspaces, one of which calls it far more than usual.
+//! A target shared by several workspaces, one of which calls it far more often than the others.
 
 use laurelstall_guard::{
     admission_request::{AdmissionRequest, Rank, WorkspaceShare},
@@ -19,9 +19,9 @@
 /// Latency objective in ms.
 const USEFUL_MS: u64 = 400;
 const WORKSPACES: u64 = 8;
-/// Calls per second of a usual workspace; all together take six tenths of the slots.
-const USUAL_PER_S: f64 = 7.5;
-/// Factor by which the first workspace exceeds the usual rate.
+/// Calls per second of an ordinary workspace; all together take six tenths of the slots.
+const ORDINARY_PER_S: f64 = 7.5;
+/// Factor by which the first workspace exceeds the ordinary rate.
 const HOT: f64 = 12.0;
 
 fn limits() -> GuardLimits {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Returns the shares of calls answered in time within ten seconds, of the usual workspaces and of the hot
+/// Returns the shares of calls answered in time within ten seconds, of the ordinary workspaces and of the hot
 /// one.
 async fn served(is_shared_fairly: bool) -> (f64, f64) {
     let clock = Clock::new();
@@ -63,7 +63,7 @@
         sleep(Duration::from_millis(1)).await;
         for workspace in 1..=WORKSPACES {
             let factor = if workspace == 1 { HOT } else { 1.0 };
-            if rng.random_bool(USUAL_PER_S * factor / 1_000.0) {
+            if rng.random_bool(ORDINARY_PER_S * factor / 1_000.0) {
                 let workspace_share =
                     WorkspaceShare { id: if is_shared_fairly { workspace } else { 0 }, weight: 1 };
                 calls.spawn(call(guard.clone(), clock, workspace, workspace_share));
--- a/crates/laurelstall_node/tests/lapsed.rs
+++ b/crates/laurelstall_node/tests/lapsed.rs
@@ -28,8 +28,8 @@
 }
 
 fn targets(active: &ActiveConfig) -> Vec<String> {
-    let in_force = active.load();
-    let mut names = in_force.configuration.fleet.targets.iter().map(|t| t.name.clone()).collect::<Vec<_>>();
+    let snapshot = active.load();
+    let mut names = snapshot.configuration.fleet.targets.iter().map(|t| t.name.clone()).collect::<Vec<_>>();
     names.sort();
     names
 }
@@ -90,10 +90,10 @@
     assert_eq!(targets(&active), ["a", "c"]);
 }
 
-// Missing targets must be kept until two seconds after the platform's return, not after the time at which a node learns
-// of it.
+// Missing targets must be kept until two seconds after the end of the platform's outage, not after the time at which a
+// node learns of it.
 #[tokio::test(start_paused = true)]
-async fn a_late_report_of_the_platforms_return_keeps_targets_only_for_the_rest_of_the_grace_period() {
+async fn a_late_report_of_the_end_of_an_outage_keeps_targets_only_for_the_rest_of_the_grace_period() {
     let active = active_with(&fleet_document(1, &[("a", "h-a", "live"), ("b", "h-b", "live")]));
     active.on_platform_outage_end(1_500);
     active.accept(&fleet_document(2, &[("a", "h-a", "live")])).expect("valid fleet document");
@@ -104,14 +104,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_report_of_the_platforms_return_after_the_grace_period_keeps_no_targets() {
+async fn a_report_of_the_end_of_an_outage_after_the_grace_period_keeps_no_targets() {
     let active = active_with(&fleet_document(1, &[("a", "h-a", "live"), ("b", "h-b", "live")]));
     active.on_platform_outage_end(2_500);
     active.accept(&fleet_document(2, &[("a", "h-a", "live")])).expect("valid fleet document");
     assert_eq!(targets(&active), ["a"]);
 }
 
-// Concurrent updates of the configuration in force from documents and from other nodes' corrections must not overwrite
+// Concurrent updates of the active configuration from documents and from other nodes' corrections must not overwrite
 // each other.
 #[test]
 fn a_configuration_accepted_during_a_concurrent_fleet_update_is_not_lost() {
@@ -127,13 +127,13 @@
         evacuations: Vec::new(),
     };
     thread::scope(|scope| {
-        let carrying = active.clone();
+        let shared = active.clone();
         scope.spawn(move || {
             for round in 0..ROUNDS {
-                carrying
+                shared
                     .accept(&fleet_document(2 + round, &[("a", "h-a", "live"), ("b", "h-b", "live")]))
                     .expect("valid fleet document");
-                carrying.merge_corrections(&corrections(round % 2));
+                shared.merge_corrections(&corrections(round % 2));
             }
         });
         for number in 1..=ROUNDS {
--- a/crates/laurelstall_spec/src/restores.rs
+++ b/crates/laurelstall_spec/src/restores.rs
@@ -53,11 +53,11 @@
     pub last_read: Option<(u8, u8)>,
     /// The store's contents as the node has read them.
     pub mirror: StoreContents,
-    /// The version of the configuration in effect and the revision at which it was written.
+    /// The version of the active configuration and the revision at which it was written.
     pub configuration: (u8, u8),
-    /// The era and the revision of the target list in effect.
+    /// The era and the revision of the active target list.
     pub list_version: (u8, u8),
-    /// Whether the target list in effect shows the target as leaving.
+    /// Whether the active target list shows the target as leaving.
     pub listed_leaving: bool,
     /// Whether the node remembers that the target has announced that it leaves.
     pub remembers_leaving: bool,
@@ -151,7 +151,7 @@
         }
         let is_stored = state.store.configuration.0 == state.newest_version;
         if is_stored && state.nodes.iter().any(|node| node.configuration.0 != state.newest_version) {
-            return Some("a configuration that was written again is not in effect");
+            return Some("a configuration that was written again is not active");
         }
         let list_version = (state.era, state.store.revision);
         if state.nodes.iter().any(|node| node.list_version != list_version) {
--- a/crates/laurelstall_spec/src/tickets.rs
+++ b/crates/laurelstall_spec/src/tickets.rs
@@ -6,8 +6,8 @@
 
 use crate::search::Model;
 
-/// Number of times that the caller sends its call.
-const SENDS: usize = 3;
+/// Number of times that the caller transmits its call.
+const TRANSMISSIONS: usize = 3;
 /// Maximum number of restarts of the guard.
 const RESTARTS_MAX: u8 = 2;
 /// Maximum number of copies of each message that the network delivers.
@@ -70,11 +70,11 @@
     /// Whether the guard is draining.
     pub is_draining: bool,
     /// Number of copies of each transmission that are in transit.
-    pub in_transit: [u8; SENDS],
+    pub in_transit: [u8; TRANSMISSIONS],
     /// Whether each transmission was sent.
-    pub was_sent: [bool; SENDS],
+    pub was_sent: [bool; TRANSMISSIONS],
     /// The outcome that was reported to the caller for each transmission.
-    pub reported: [Outcome; SENDS],
+    pub reported: [Outcome; TRANSMISSIONS],
 }
 
 /// The model, with at most one rule left out.
@@ -93,19 +93,19 @@
             ledger_entry: LedgerEntry::Unused,
             executions: 0,
             is_draining: false,
-            in_transit: [0; SENDS],
-            was_sent: [false; SENDS],
-            reported: [Outcome::Pending; SENDS],
+            in_transit: [0; TRANSMISSIONS],
+            was_sent: [false; TRANSMISSIONS],
+            reported: [Outcome::Pending; TRANSMISSIONS],
         }
     }
 
     fn next_states(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
-        for send in 0..SENDS {
-            self.caller_steps(state, send, &mut next);
-            if state.in_transit[send] > 0 {
-                next.push(remove_copy(state, send));
-                self.arrival_steps(state, send, &mut next);
+        for transmission in 0..TRANSMISSIONS {
+            self.caller_steps(state, transmission, &mut next);
+            if state.in_transit[transmission] > 0 {
+                next.push(remove_copy(state, transmission));
+                self.arrival_steps(state, transmission, &mut next);
             }
         }
         self.guard_steps(state, &mut next);
@@ -122,36 +122,36 @@
 }
 
 impl TicketModel {
-    fn caller_steps(&self, state: &State, send: usize, next: &mut Vec<State>) {
-        let is_previous_sent = send == 0 || state.was_sent[send - 1];
-        if !state.was_sent[send] && is_previous_sent {
+    fn caller_steps(&self, state: &State, transmission: usize, next: &mut Vec<State>) {
+        let is_previous_sent = transmission == 0 || state.was_sent[transmission - 1];
+        if !state.was_sent[transmission] && is_previous_sent {
             let mut sent = state.clone();
-            sent.was_sent[send] = true;
-            sent.in_transit[send] = COPIES;
+            sent.was_sent[transmission] = true;
+            sent.in_transit[transmission] = COPIES;
             next.push(sent);
         }
-        let is_waiting = state.was_sent[send] && state.reported[send] == Outcome::Pending;
+        let is_waiting = state.was_sent[transmission] && state.reported[transmission] == Outcome::Pending;
         if is_waiting {
             let mut given_up = state.clone();
-            given_up.reported[send] =
+            given_up.reported[transmission] =
                 if self.mutation == Mutation::TimeoutIsNotRun { Outcome::NotRun } else { Outcome::Unknown };
             next.push(given_up);
         }
     }
 
     /// Delivers a copy to the guard, which runs the call or reports an outcome.
-    fn arrival_steps(&self, state: &State, send: usize, next: &mut Vec<State>) {
-        let arrived = remove_copy(state, send);
+    fn arrival_steps(&self, state: &State, transmission: usize, next: &mut Vec<State>) {
+        let arrived = remove_copy(state, transmission);
         let is_accepted = state.incarnation == 0 || self.mutation == Mutation::AcceptsAnyIncarnation;
         if !is_accepted {
-            next.push(report(&arrived, send, Outcome::Unknown));
+            next.push(report(&arrived, transmission, Outcome::Unknown));
             return;
         }
         let ledger_entry =
             if self.mutation == Mutation::IgnoresLedger { LedgerEntry::Unused } else { state.ledger_entry };
         match ledger_entry {
             LedgerEntry::Unused => {
-                next.push(self.refuse(&arrived, send));
+                next.push(self.refuse(&arrived, transmission));
                 if !state.is_draining {
                     let mut running = arrived;
                     running.ledger_entry = if self.mutation == Mutation::RunningNotRecorded {
@@ -163,15 +163,15 @@
                     next.push(running);
                 }
             }
-            LedgerEntry::Running => next.push(report(&arrived, send, Outcome::Unknown)),
-            LedgerEntry::Answered => next.push(report(&arrived, send, Outcome::Answered)),
-            LedgerEntry::OutcomeUnknown => next.push(report(&arrived, send, Outcome::Unknown)),
-            LedgerEntry::Void => next.push(report(&arrived, send, Outcome::NotRun)),
+            LedgerEntry::Running => next.push(report(&arrived, transmission, Outcome::Unknown)),
+            LedgerEntry::Answered => next.push(report(&arrived, transmission, Outcome::Answered)),
+            LedgerEntry::OutcomeUnknown => next.push(report(&arrived, transmission, Outcome::Unknown)),
+            LedgerEntry::Void => next.push(report(&arrived, transmission, Outcome::NotRun)),
         }
     }
 
-    fn refuse(&self, state: &State, send: usize) -> State {
-        let mut refused = report(state, send, Outcome::NotRun);
+    fn refuse(&self, state: &State, transmission: usize) -> State {
+        let mut refused = report(state, transmission, Outcome::NotRun);
         if self.mutation != Mutation::RefusedNotVoided {
             refused.ledger_entry = LedgerEntry::Void;
         }
@@ -201,17 +201,17 @@
     }
 }
 
-fn remove_copy(state: &State, send: usize) -> State {
+fn remove_copy(state: &State, transmission: usize) -> State {
     let mut after = state.clone();
-    after.in_transit[send] -= 1;
+    after.in_transit[transmission] -= 1;
     after
 }
 
 /// Reports an outcome to the caller, unless one was already reported for this transmission.
-fn report(state: &State, send: usize, outcome: Outcome) -> State {
+fn report(state: &State, transmission: usize, outcome: Outcome) -> State {
     let mut after = state.clone();
-    if after.reported[send] == Outcome::Pending {
-        after.reported[send] = outcome;
+    if after.reported[transmission] == Outcome::Pending {
+        after.reported[transmission] = outcome;
     }
     after
 }
--- a/crates/laurelstall_spec/tests/models.rs
+++ b/crates/laurelstall_spec/tests/models.rs
@@ -96,11 +96,11 @@
     use restores::Mutation;
     assert_violates(
         &RestoreModel { mutation: Mutation::OrdersConfigurationsByRevision },
-        "a configuration that was written again is not in effect",
+        "a configuration that was written again is not active",
     );
     assert_violates(
         &RestoreModel { mutation: Mutation::IgnoresEraOnRead },
-        "a configuration that was written again is not in effect",
+        "a configuration that was written again is not active",
     );
     assert_violates(
         &RestoreModel { mutation: Mutation::ForgetsLeaving },
--- a/crates/laurelstall_standin/src/bin/laurelstall-fleet.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-fleet.rs
@@ -31,7 +31,11 @@
         meta = "N"
     )]
     change_interval_ms: u64,
-    #[options(help = "none, restarts, cut, stale, away or returned", default = "none", meta = "NAME")]
+    #[options(
+        help = "none, restarts, cut (partition), stale, away (platform outage) or returned (platform restore)",
+        default = "none",
+        meta = "NAME"
+    )]
     disturbance: String,
     #[options(help = "seed of all random choices", no_short, default = "1", meta = "N")]
     seed: u64,
@@ -81,10 +85,10 @@
     println!("all joined after ms         {:>10.0}", result.joined_ms);
     println!("changes, overdue            {:>10} {}", result.changes, result.overdue);
     println!(
-        "in force p50/p99/max ms     {:>10.0} {:.0} {:.0}",
+        "active after p50/p99/max ms {:>10.0} {:.0} {:.0}",
         result.in_force_p50_ms, result.in_force_p99_ms, result.in_force_max_ms
     );
-    println!("fell back                   {:>10}", result.fell_back);
+    println!("version rollbacks           {:>10}", result.fell_back);
     println!("control bytes/s a node      {:>10.0}", result.control_bytes_per_s_per_node);
     println!("  at the busiest node       {:>10.0}", result.control_bytes_per_s_max_node);
     println!("control messages/s a node   {:>10.2}", result.control_messages_per_s_per_node);
--- a/crates/laurelstall_standin/src/bin/laurelstall-standin-platform.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-standin-platform.rs
@@ -67,14 +67,14 @@
         let started = Instant::now();
         let end = started + Duration::from_secs(arguments.seconds);
         let copy_at = arguments.copy_at.map(|s| started + Duration::from_secs(s));
-        let return_at = arguments.return_at.map(|s| started + Duration::from_secs(s));
+        let restore_at = arguments.return_at.map(|s| started + Duration::from_secs(s));
         let (mut copy, mut is_restored) = (None, false);
         let mut published = HashMap::new();
         while Instant::now() < end {
             if copy.is_none() && is_due(copy_at) {
                 copy = Some(platform.snapshot());
             }
-            if let Some(copy) = copy.as_ref().filter(|_| !is_restored && is_due(return_at)) {
+            if let Some(copy) = copy.as_ref().filter(|_| !is_restored && is_due(restore_at)) {
                 println!("restored from the copy");
                 platform.restore(copy);
                 is_restored = true;
--- a/crates/laurelstall_standin/src/bin/laurelstall-standin-target.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-standin-target.rs
@@ -46,7 +46,7 @@
         name: arguments.name,
         slots: arguments.slots,
         service_mean_ms: arguments.mean_ms,
-        open_ms: arguments.open_ms,
+        accept_delay_ms: arguments.open_ms,
         seed: arguments.seed,
     };
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
--- a/crates/laurelstall_standin/src/bin/laurelstall-try.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-try.rs
@@ -170,7 +170,7 @@
     println!("  unknown                    {:>10}", totals.unknown);
     println!("  lost                       {:>10}", totals.lost);
     println!("  wrong                      {:>10}", totals.wrong);
-    println!("told not run, but ran        {:>10}", totals.not_run_but_ran);
+    println!("reported not run, but ran    {:>10}", totals.not_run_but_ran);
     println!("not repeatable, ran twice    {:>10}", totals.ran_twice);
     println!(
         "latency p50/p99/p99.9 ms     {:>10.2} {:.2} {:.2}",
--- a/crates/laurelstall_standin/src/callers.rs
+++ b/crates/laurelstall_standin/src/callers.rs
@@ -71,9 +71,9 @@
     Answered,
     /// The caller received an error response.
     Failed,
-    /// The caller was told that the call did not run.
+    /// The answer reported that the call did not run.
     NotRun,
-    /// The caller was told that the outcome is unknown.
+    /// The answer reported that the outcome is unknown.
     Unknown,
     /// The caller received no complete answer: the connection broke or the call timed out.
     Lost,
--- a/crates/laurelstall_standin/src/experiment.rs
+++ b/crates/laurelstall_standin/src/experiment.rs
@@ -230,6 +230,8 @@
     }))
 }
 
+/// Returns the CPU time of the nodes in s, which is that of all threads except those of targets, of callers and of the
+/// program itself.
 fn nodes_cpu_s() -> f64 {
     threads_cpu_s(|name| {
         !name.starts_with("targets") && !name.starts_with("callers") && !name.starts_with("laurelstall")
--- a/crates/laurelstall_standin/src/fault.rs
+++ b/crates/laurelstall_standin/src/fault.rs
@@ -53,10 +53,10 @@
         }
         FaultKind::NodePause => Box::new(NodePause { target: plan.target, for_ms: plan.for_ms }),
         FaultKind::NodeKill => {
-            Box::new(NodeStop { target: plan.target, is_planned: false, addresses: Mutex::default() })
+            Box::new(NodeStop { target: plan.target, is_graceful: false, addresses: Mutex::default() })
         }
         FaultKind::NodeDrain => {
-            Box::new(NodeStop { target: plan.target, is_planned: true, addresses: Mutex::default() })
+            Box::new(NodeStop { target: plan.target, is_graceful: true, addresses: Mutex::default() })
         }
         FaultKind::HostLeaving => Box::new(HostLeaving { target: plan.target }),
         FaultKind::EvacuateDataCentre => Box::new(EvacuateDataCentre { number: plan.data_centre }),
@@ -154,12 +154,12 @@
     }
 }
 
-/// How long callers keep using an entry node after its planned stop has begun.
+/// How long callers keep using an entry node after its graceful stop has begun.
 const ENTRY_REMOVAL_DELAY: Duration = Duration::from_millis(500);
 
 struct NodeStop {
     target: usize,
-    is_planned: bool,
+    is_graceful: bool,
     addresses: Mutex<Option<Addresses>>,
 }
 
@@ -184,7 +184,7 @@
             let host = context.harness.host_name(self.target);
             let Some(node) = host.and_then(|host| context.harness.take_node(&host)) else { return };
             self.remember_addresses(&node);
-            if self.is_planned {
+            if self.is_graceful {
                 let entries = context.entries.clone();
                 let entry = node.entry_address;
                 tokio::spawn(async move {
@@ -192,7 +192,7 @@
                     entries.remove(entry);
                 });
                 if !node.stop().await {
-                    log::error!("node {entry}: planned stop exceeded its time limit");
+                    log::error!("node {entry}: graceful stop exceeded its time limit");
                 }
             } else {
                 context.entries.remove(node.entry_address);
--- a/crates/laurelstall_standin/src/fleet_bench.rs
+++ b/crates/laurelstall_standin/src/fleet_bench.rs
@@ -101,13 +101,13 @@
     pub nodes: usize,
     /// Number of changes published.
     pub changes: u64,
-    /// Time until a change takes effect on a node, over all nodes and changes: median in ms.
+    /// Time until a change is active on a node, over all nodes and changes: median in ms.
     pub in_force_p50_ms: f64,
     /// 99th percentile of this time in ms.
     pub in_force_p99_ms: f64,
     /// Maximum of this time in ms.
     pub in_force_max_ms: f64,
-    /// Number of changes that did not take effect on all nodes in time.
+    /// Number of changes that were not active on all nodes in time.
     pub overdue: u64,
     /// How often a node was observed with an older document version than before.
     pub fell_back: u64,
@@ -142,7 +142,8 @@
     plan: FleetPlan,
     platform: Arc<StandinPlatform>,
     partitions: Arc<Partitions>,
-    members: Vec<BenchNode>,
+    nodes: Vec<BenchNode>,
+    /// Last observed version of each document on each node, by index of the node, with the incarnation of the node.
     latest_versions: HashMap<(usize, DocumentName), (Version, Option<u64>)>,
     rollbacks: u64,
 }
@@ -199,7 +200,7 @@
         let partitions = Arc::new(Partitions::default());
         let threads =
             (0..THREADS).map(|n| Arc::new(RuntimeThread::start(&format!("nodes-{n}")))).collect::<Vec<_>>();
-        let mut members = Vec::new();
+        let mut nodes = Vec::new();
         let mut sockets = Vec::new();
         for index in 0..plan.nodes {
             let bound = Sockets::bind();
@@ -213,36 +214,36 @@
             };
             let addresses = [bound.entry.1, bound.peer.1, bound.admin.1];
             let thread = threads[index % threads.len()].clone();
-            members.push(BenchNode { host, node: None, addresses, thread });
+            nodes.push(BenchNode { host, node: None, addresses, thread });
             sockets.push(bound);
         }
-        publish_documents(&platform, &members);
+        publish_documents(&platform, &nodes);
         let mut this =
-            Self { plan, platform, partitions, members, latest_versions: HashMap::new(), rollbacks: 0 };
+            Self { plan, platform, partitions, nodes, latest_versions: HashMap::new(), rollbacks: 0 };
         let starting = sockets.into_iter().enumerate().map(|(index, sockets)| {
             let listeners =
                 Listeners { entry: sockets.entry.0, peer: sockets.peer.0, admin: sockets.admin.0 };
-            let thread = this.members[index].thread.clone();
+            let thread = this.nodes[index].thread.clone();
             NodeThread::start(this.options(index, listeners), Some(thread))
         });
         let started = futures_util::future::join_all(starting.collect::<Vec<_>>()).await;
-        for (member, node) in this.members.iter_mut().zip(started) {
-            member.node = Some(node.map_err(|error| error.to_string())?);
+        for (bench_node, node) in this.nodes.iter_mut().zip(started) {
+            bench_node.node = Some(node.map_err(|error| error.to_string())?);
         }
         Ok(this)
     }
 
     fn options(&self, index: usize, listeners: Listeners) -> NodeOptions {
-        let member = &self.members[index];
+        let bench_node = &self.nodes[index];
         let settings = Settings {
             node: NodeSettings {
                 takes_unlisted_peers: false,
                 stop_linger_ms: 1_000,
-                host: member.host.name.clone(),
-                data_centre: member.host.data_centre.clone(),
-                entry_address: member.addresses[0],
-                peer_address: member.addresses[1],
-                admin_address: member.addresses[2],
+                host: bench_node.host.name.clone(),
+                data_centre: bench_node.host.data_centre.clone(),
+                entry_address: bench_node.addresses[0],
+                peer_address: bench_node.addresses[1],
+                admin_address: bench_node.addresses[2],
                 stop_max_ms: 5_000,
                 stop_grace_s: 0.0,
             },
@@ -250,11 +251,9 @@
             platform: PlatformSettings {
                 read_timeout_ms: 1_000,
                 watch_wait_ms: WATCH_WAIT_MS,
-                ..PlatformSettings::new(member.addresses[2])
+                ..PlatformSettings::new(bench_node.addresses[2])
             },
-            seeds: (1..=2)
-                .map(|step| self.members[(index + step) % self.members.len()].addresses[1])
-                .collect(),
+            seeds: (1..=2).map(|step| self.nodes[(index + step) % self.nodes.len()].addresses[1]).collect(),
             callers: CallerLimits::default(),
             tokens: Vec::new(),
             log: LogSettings { decisions: DecisionFormat::Off, ..LogSettings::default() },
@@ -262,16 +261,16 @@
         let mut options = NodeOptions::new(settings, listeners);
         options.seed = self.plan.seed * 100_000 + index as u64;
         options.link = Arc::new(HostLink {
-            data_centre: member.host.data_centre.clone(),
+            data_centre: bench_node.host.data_centre.clone(),
             partitions: self.partitions.clone(),
         });
-        let flag = self.partitions.platform_partition_flag(&member.host.data_centre);
+        let flag = self.partitions.platform_partition_flag(&bench_node.host.data_centre);
         options.platform =
             Some(Arc::new(PlatformConnection::new(self.platform.clone(), flag, WATCH_WAIT_MS)));
         options
     }
 
-    /// Publishes changes at the planned interval and tracks each until it takes effect on all nodes.
+    /// Publishes changes at the planned interval and tracks each until it is active on all nodes.
     ///
     /// Returns the propagation delays, the number of changes and the number of overdue changes.
     async fn publish_and_measure(&mut self) -> Result<(LatencyHistogram, u64, u64), String> {
@@ -321,36 +320,38 @@
             name,
             version,
             published_at: StdInstant::now(),
-            has_change: vec![false; self.members.len()],
+            is_active_on: vec![false; self.nodes.len()],
         }
     }
 
     fn record_propagation(&self, change: &mut PendingChange, latency: &mut LatencyHistogram) {
-        for (index, member) in self.members.iter().enumerate() {
-            let Some(node) = &member.node else { continue };
-            if change.has_change[index]
+        for (index, bench_node) in self.nodes.iter().enumerate() {
+            let Some(node) = &bench_node.node else { continue };
+            if change.is_active_on[index]
                 || node.active.load().configuration.version(&change.name) < change.version
             {
                 continue;
             }
-            change.has_change[index] = true;
+            change.is_active_on[index] = true;
             latency.add_us(change.published_at.elapsed().as_micros() as u64);
         }
     }
 
     fn count_version_rollbacks(&mut self) {
-        for (index, member) in self.members.iter().enumerate() {
-            let Some(node) = &member.node else { continue };
-            let start = node.guard.incarnation();
+        for (index, bench_node) in self.nodes.iter().enumerate() {
+            let Some(node) = &bench_node.node else { continue };
+            let incarnation = node.guard.incarnation();
             for (name, version) in &node.active.load().configuration.versions {
-                let latest =
-                    self.latest_versions.entry((index, name.clone())).or_insert((*version, Some(start)));
+                let latest = self
+                    .latest_versions
+                    .entry((index, name.clone()))
+                    .or_insert((*version, Some(incarnation)));
                 // A restarted node may lag until it has joined; from then on it must not use an older version than
                 // its host used before.
                 if *version < latest.0 && node.replicator.is_joined() {
                     self.rollbacks += 1;
                 }
-                *latest = (*version, Some(start));
+                *latest = (*version, Some(incarnation));
             }
         }
     }
@@ -359,8 +360,8 @@
         let third_ms = self.plan.seconds * 1_000 / 3;
         let is_middle = (third_ms..2 * third_ms).contains(&now_ms);
         if self.plan.disturbance == Disturbance::Restarts {
-            let due = (now_ms * self.members.len() as u64 / 5 / (self.plan.seconds * 1_000)) as usize;
-            while state.restarted < due.min(self.members.len() / 5) {
+            let due = (now_ms * self.nodes.len() as u64 / 5 / (self.plan.seconds * 1_000)) as usize;
+            while state.restarted < due.min(self.nodes.len() / 5) {
                 let index = state.restarted * 5;
                 state.restarted += 1;
                 self.restart(index).await?;
@@ -385,34 +386,34 @@
     }
 
     async fn restart(&mut self, index: usize) -> Result<(), String> {
-        if let Some(node) = self.members[index].node.take() {
+        if let Some(node) = self.nodes[index].node.take() {
             node.kill().await;
         }
-        let addresses = self.members[index].addresses;
+        let addresses = self.nodes[index].addresses;
         let bind = |address| TcpListener::bind(address).map_err(|error| format!("{address}: {error}"));
         let listeners =
             Listeners { entry: bind(addresses[0])?, peer: bind(addresses[1])?, admin: bind(addresses[2])? };
-        let thread = self.members[index].thread.clone();
+        let thread = self.nodes[index].thread.clone();
         let node = NodeThread::start(self.options(index, listeners), Some(thread)).await;
-        self.members[index].node = Some(node.map_err(|error| error.to_string())?);
+        self.nodes[index].node = Some(node.map_err(|error| error.to_string())?);
         Ok(())
     }
 
     /// Returns the bytes and messages of control traffic of each node so far.
     fn control_traffic(&self) -> Vec<(u64, u64)> {
-        let traffic = |member: &BenchNode| {
-            let Some(node) = &member.node else { return (0, 0) };
+        let traffic = |bench_node: &BenchNode| {
+            let Some(node) = &bench_node.node else { return (0, 0) };
             let meter = node.meter();
             let load = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
             let messages = load(&meter.control_messages);
             let bytes = load(&meter.received_bytes) + load(&meter.sent_bytes);
             (bytes + messages * HEADER_BYTES_PER_MESSAGE, messages)
         };
-        self.members.iter().map(traffic).collect()
+        self.nodes.iter().map(traffic).collect()
     }
 
     fn connections(&self) -> u64 {
-        let nodes = self.members.iter().filter_map(|member| member.node.as_ref());
+        let nodes = self.nodes.iter().filter_map(|bench_node| bench_node.node.as_ref());
         nodes.map(|node| node.meter().open.load(Ordering::Relaxed)).sum()
     }
 
@@ -436,12 +437,13 @@
     name: DocumentName,
     version: Version,
     published_at: StdInstant,
-    has_change: Vec<bool>,
+    /// Whether the change is active, by index of the node.
+    is_active_on: Vec<bool>,
 }
 
 impl PendingChange {
     fn is_complete(&self) -> bool {
-        self.has_change.iter().all(|has_change| *has_change)
+        self.is_active_on.iter().all(|is_active| *is_active)
     }
 
     fn is_overdue(&self) -> bool {
@@ -449,12 +451,12 @@
     }
 }
 
-fn publish_documents(platform: &Arc<StandinPlatform>, members: &[BenchNode]) {
+fn publish_documents(platform: &Arc<StandinPlatform>, nodes: &[BenchNode]) {
     let fleet =
-        Fleet { hosts: members.iter().map(|member| member.host.clone()).collect(), ..Fleet::default() };
+        Fleet { hosts: nodes.iter().map(|bench_node| bench_node.host.clone()).collect(), ..Fleet::default() };
     platform.publish(&DocumentName::Fleet, &to_toml(&fleet));
     platform.publish(&DocumentName::System, &to_toml(&system_limits()));
-    for (name, text) in team_documents(members.len()) {
+    for (name, text) in team_documents(nodes.len()) {
         platform.publish(&name, &text);
     }
 }
--- a/crates/laurelstall_standin/src/harness.rs
+++ b/crates/laurelstall_standin/src/harness.rs
@@ -92,7 +92,7 @@
                     name: format!("{}-{number}", service.name),
                     slots: service.slots,
                     service_mean_ms: service.service_mean_ms,
-                    open_ms: plan.open_ms,
+                    accept_delay_ms: plan.accept_delay_ms,
                     seed: plan.seed.wrapping_mul(1_000) + index as u64,
                 };
                 let (targets, records) = (targets.clone(), records.clone());
--- a/crates/laurelstall_standin/src/harness_plan.rs
+++ b/crates/laurelstall_standin/src/harness_plan.rs
@@ -34,7 +34,7 @@
     /// Configured one-way network delay between data centres in µs.
     pub one_way_us: u64,
     /// Delay in ms before a target serves an accepted connection.
-    pub open_ms: u64,
+    pub accept_delay_ms: u64,
     /// Routing program of the team.
     pub program: String,
     /// Observation budget of each node.
@@ -88,7 +88,7 @@
             services: names.iter().take(services).map(service).collect(),
             data_centres: (1..=3).map(|number| format!("{prefix}-{number}")).collect(),
             one_way_us,
-            open_ms: 1,
+            accept_delay_ms: 1,
             program: PROGRAM.to_owned(),
             observe: ObserveLimits::default(),
             decisions: DecisionFormat::Human,
--- a/crates/laurelstall_standin/src/node_thread.rs
+++ b/crates/laurelstall_standin/src/node_thread.rs
@@ -101,7 +101,7 @@
         self.entry.context.client.pool().meter()
     }
 
-    /// Stops the node gracefully; returns true if no running call was aborted.
+    /// Stops the node gracefully; returns whether all requests ended within the time limit.
     pub async fn stop(&self) -> bool {
         self.send_command(Command::Stop).await
     }
--- a/crates/laurelstall_standin/src/platform.rs
+++ b/crates/laurelstall_standin/src/platform.rs
@@ -30,26 +30,28 @@
 /// Longest time in ms that a watch request may wait.
 const WATCH_WAIT_MAX_MS: u64 = 300_000;
 
+/// The documents of the platform, with the numbers that order its changes.
 #[derive(Debug, Clone, Default)]
-struct Values {
+struct PlatformState {
     /// Number of restores from an older copy.
     era: u64,
+    /// Number of the latest change; a restore sets it back to that of the copy.
     sequence: u64,
     documents: BTreeMap<String, Document>,
 }
 
 /// A copy of all documents that the platform had at some time.
 #[derive(Debug, Clone)]
-pub struct Snapshot(Values);
+pub struct Snapshot(PlatformState);
 
 /// The stand-in platform, which stores documents under growing version numbers. Nodes only read from it.
 #[derive(Debug)]
 pub struct StandinPlatform {
-    values: Mutex<Values>,
-    /// The latest version number that authors gave each document; restores of the platform do not reset it.
-    authored_versions: Mutex<BTreeMap<DocumentName, u64>>,
+    state: Mutex<PlatformState>,
+    /// The latest version number that operators gave each document; restores of the platform do not reset it.
+    operator_versions: Mutex<BTreeMap<DocumentName, u64>>,
     /// Documents that the platform serves instead of the current ones while it is stale.
-    stale: Mutex<Option<Values>>,
+    stale: Mutex<Option<PlatformState>>,
     sequence: watch::Sender<u64>,
     is_unavailable: AtomicBool,
     delay_ms: AtomicU64,
@@ -61,8 +63,8 @@
     pub fn new() -> Arc<Self> {
         let (sequence, _) = watch::channel(0);
         Arc::new(Self {
-            values: Mutex::default(),
-            authored_versions: Mutex::default(),
+            state: Mutex::default(),
+            operator_versions: Mutex::default(),
             stale: Mutex::default(),
             sequence,
             is_unavailable: AtomicBool::new(false),
@@ -74,14 +76,14 @@
     /// Publishes a text under the next version of the document, and returns that version.
     pub fn publish(&self, name: &DocumentName, text: &str) -> Version {
         let (version, sequence) = {
-            let mut values = self.values();
-            values.sequence += 1;
+            let mut state = self.state();
+            state.sequence += 1;
             let key = name.to_string();
-            let current = values.documents.get(&key).map_or(0, |document| document.version.number);
-            let version = version_of(name, values.era, self.next_number(name, current));
+            let current = state.documents.get(&key).map_or(0, |document| document.version.number);
+            let version = version_of(name, state.era, self.next_number(name, current));
             let document = Document { name: name.clone(), version, text: text.to_owned() };
-            values.documents.insert(key, document);
-            (version, values.sequence)
+            state.documents.insert(key, document);
+            (version, state.sequence)
         };
         self.sequence.send_replace(sequence);
         version
@@ -93,8 +95,8 @@
         if *name == DocumentName::Fleet {
             return current + 1;
         }
-        let mut authored_versions = self.authored_versions.lock().unwrap_or_else(PoisonError::into_inner);
-        let number = authored_versions.entry(name.clone()).or_default();
+        let mut operator_versions = self.operator_versions.lock().unwrap_or_else(PoisonError::into_inner);
+        let number = operator_versions.entry(name.clone()).or_default();
         *number += 1;
         *number
     }
@@ -104,10 +106,10 @@
     pub fn restore(&self, copy: &Snapshot) {
         let sequence = copy.0.sequence;
         {
-            let mut values = self.values();
-            let era = values.era + 1;
-            *values = Values { era, ..copy.0.clone() };
-            for document in values.documents.values_mut() {
+            let mut state = self.state();
+            let era = state.era + 1;
+            *state = PlatformState { era, ..copy.0.clone() };
+            for document in state.documents.values_mut() {
                 document.version = version_of(&document.name, era, document.version.number);
             }
         }
@@ -115,7 +117,7 @@
         self.sequence.send_replace(sequence);
     }
 
-    /// Publishes the documents of `snapshot` that the platform no longer has, as authors do after a restore.
+    /// Publishes the documents of `snapshot` that the platform no longer has, as operators do after a restore.
     pub fn republish(&self, snapshot: &Snapshot) {
         for document in snapshot.0.documents.values() {
             if self.text(&document.name).as_ref() != Some(&document.text) {
@@ -126,18 +128,18 @@
 
     /// Returns the latest published text of a document.
     pub fn text(&self, name: &DocumentName) -> Option<String> {
-        self.values().documents.get(&name.to_string()).map(|document| document.text.clone())
+        self.state().documents.get(&name.to_string()).map(|document| document.text.clone())
     }
 
     /// Makes the platform serve its present documents until this is called with `false`.
     pub fn set_stale(&self, is_stale: bool) {
-        let visible_values = is_stale.then(|| self.values().clone());
-        *self.stale.lock().unwrap_or_else(PoisonError::into_inner) = visible_values;
+        let stale_state = is_stale.then(|| self.state().clone());
+        *self.stale.lock().unwrap_or_else(PoisonError::into_inner) = stale_state;
     }
 
     /// Copies all documents, for a later [`serve_snapshot`](Self::serve_snapshot) or [`restore`](Self::restore).
     pub fn snapshot(&self) -> Snapshot {
-        Snapshot(self.values().clone())
+        Snapshot(self.state().clone())
     }
 
     /// Makes the platform serve the documents of `snapshot`, as a stale platform does.
@@ -197,11 +199,11 @@
             };
             let wait_ms = number("wait_ms").unwrap_or(0).min(WATCH_WAIT_MAX_MS);
             return match self.list(number("after"), number("era"), wait_ms).await {
-                Ok(values) => {
-                    let list = values.documents.values();
+                Ok(state) => {
+                    let list = state.documents.values();
                     let list = list.map(|d| WireValue { key: d.name.to_string(), version: d.version.number });
                     let listing =
-                        WireListing { era: values.era, sequence: values.sequence, values: list.collect() };
+                        WireListing { era: state.era, sequence: state.sequence, values: list.collect() };
                     let text = serde_json::to_vec(&listing).unwrap_or_default();
                     Response::new(Full::new(text.into()))
                 }
@@ -231,11 +233,11 @@
         after: Option<u64>,
         era: Option<u64>,
         wait_ms: u64,
-    ) -> Result<Values, PlatformError> {
+    ) -> Result<PlatformState, PlatformError> {
         self.begin_request().await?;
         if let Some(after) = after {
             let mut sequence = self.sequence.subscribe();
-            let was_restored = || era.is_some_and(|era| era != self.values().era);
+            let was_restored = || era.is_some_and(|era| era != self.state().era);
             let is_due = |sequence: &u64| {
                 *sequence > after || was_restored() || self.is_unavailable.load(Ordering::Relaxed)
             };
@@ -243,12 +245,12 @@
             let _ = timeout(Duration::from_millis(wait_ms), sequence.wait_for(is_due)).await;
             self.check_available()?;
         }
-        Ok(self.visible_values())
+        Ok(self.visible_state())
     }
 
     async fn read_key(&self, key: &str) -> Result<Option<Document>, PlatformError> {
         self.begin_request().await?;
-        Ok(self.visible_values().documents.get(key).cloned())
+        Ok(self.visible_state().documents.get(key).cloned())
     }
 
     async fn begin_request(&self) -> Result<(), PlatformError> {
@@ -267,13 +269,13 @@
         Ok(())
     }
 
-    fn visible_values(&self) -> Values {
+    fn visible_state(&self) -> PlatformState {
         let stale = self.stale.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        stale.unwrap_or_else(|| self.values().clone())
+        stale.unwrap_or_else(|| self.state().clone())
     }
 
-    fn values(&self) -> MutexGuard<'_, Values> {
-        self.values.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, PlatformState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -308,11 +310,11 @@
         async move {
             self.check_partition()?;
             let era = self.era.load(Ordering::Relaxed);
-            let values = self.platform.list(after, Some(era), self.watch_wait_ms).await?;
-            self.era.store(values.era, Ordering::Relaxed);
+            let state = self.platform.list(after, Some(era), self.watch_wait_ms).await?;
+            self.era.store(state.era, Ordering::Relaxed);
             self.check_partition()?;
-            let versions = values.documents.into_values().map(|d| (d.name, d.version)).collect();
-            Ok(Listing { era: values.era, sequence: values.sequence, versions })
+            let versions = state.documents.into_values().map(|d| (d.name, d.version)).collect();
+            Ok(Listing { era: state.era, sequence: state.sequence, versions })
         }
         .boxed()
     }
--- a/crates/laurelstall_standin/src/target.rs
+++ b/crates/laurelstall_standin/src/target.rs
@@ -80,7 +80,7 @@
     /// Mean service time in ms, exponentially distributed with a floor of a quarter.
     pub service_mean_ms: f64,
     /// Delay in ms before an accepted connection is served.
-    pub open_ms: u64,
+    pub accept_delay_ms: u64,
     /// Seed of the random service times.
     pub seed: u64,
 }
@@ -203,10 +203,10 @@
             let builder = Builder::new(TokioExecutor::new());
             let connection = builder.serve_connection(TokioIo::new(stream), service).into_owned();
             let connection = graceful.watch(connection);
-            let open_ms = self.plan.open_ms;
+            let accept_delay_ms = self.plan.accept_delay_ms;
             tokio::spawn(async move {
-                if open_ms > 0 {
-                    sleep(Duration::from_millis(open_ms)).await;
+                if accept_delay_ms > 0 {
+                    sleep(Duration::from_millis(accept_delay_ms)).await;
                 }
                 // Connection errors are reported by the client.
                 let _ = connection.await;
