--- a/crates/laurelstall_cli/src/admin_client.rs
+++ b/crates/laurelstall_cli/src/admin_client.rs
@@ -53,12 +53,12 @@
         .body(Full::new(Bytes::from(admin_request.body.clone())))
         .map_err(|error| error.to_string())?;
     let client: Client<HttpConnector, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
-    let exchange = timeout(ANSWER_TIMEOUT, async {
+    let answer = timeout(ANSWER_TIMEOUT, async {
         let response = client.request(request).await.map_err(|error| error.to_string())?;
         let status = response.status();
         let body = Limited::new(response.into_body(), ANSWER_BYTES_MAX).collect().await;
         let bytes = body.map_err(|error| error.to_string())?.to_bytes();
         Ok((status, String::from_utf8_lossy(&bytes).into_owned()))
     });
-    exchange.await.map_err(|_| "timed out waiting for an answer".to_owned())?
+    answer.await.map_err(|_| "timed out waiting for an answer".to_owned())?
 }
--- a/crates/laurelstall_cli/src/bin/laurelstall-check.rs
+++ b/crates/laurelstall_cli/src/bin/laurelstall-check.rs
@@ -52,7 +52,7 @@
     if !problems.is_empty() {
         return EXIT_USAGE;
     }
-    println!("{file}: right");
+    println!("{file}: valid");
     match &arguments.request {
         Some(description) => run_program(file, &text, description, &arguments.header),
         None => EXIT_SUCCESS,
--- a/crates/laurelstall_cli/src/bin/laurelstall-ctl.rs
+++ b/crates/laurelstall_cli/src/bin/laurelstall-ctl.rs
@@ -34,7 +34,7 @@
     Targets(NoOptions),
     #[options(help = "list hosts, and the partners of this node")]
     Members(NoOptions),
-    #[options(help = "list current and refused versions of documents")]
+    #[options(help = "list current and rejected versions of documents")]
     Config(NoOptions),
     #[options(help = "list recent routing decisions")]
     Decisions(NoOptions),
@@ -94,7 +94,7 @@
 struct TicketOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "a caller host of the team", required, meta = "NAME")]
+    #[options(help = "host name that callers of the team use", required, meta = "NAME")]
     host: String,
     #[options(help = "the service's name", required, meta = "NAME")]
     service: String,
@@ -116,11 +116,11 @@
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let exchange = match runtime {
+    let answer = match runtime {
         Ok(runtime) => runtime.block_on(send_request(&admin_request)),
         Err(error) => Err(error.to_string()),
     };
-    match exchange {
+    match answer {
         Ok((status, text)) => {
             print_answer(&text, arguments.json);
             ExitCode::from(if status.is_success() { EXIT_SUCCESS } else { EXIT_FAILURE })
@@ -164,7 +164,7 @@
 fn check_body(file: &str) -> Result<String, String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{file}: {error}"))?;
     let Some(check::FileKind::Document(name)) = check::detect_kind(&text) else {
-        return Err(format!("{file}: not a document for publishing"));
+        return Err(format!("{file}: not a fleet, system or team document"));
     };
     Ok(json!({ "key": name.to_string(), "text": text }).to_string())
 }
--- a/crates/laurelstall_cli/src/check.rs
+++ b/crates/laurelstall_cli/src/check.rs
@@ -62,9 +62,9 @@
 pub fn explain_route(team: &Team, description: &str) -> Result<Option<String>, String> {
     let (_, host, path) = parse_description(team, description)?;
     let table = RouteTable::new(&team.routes, 0);
-    let fitting = table.matching_rules(host, path);
-    let Some(rule) = fitting.first() else { return Ok(None) };
-    let prefixes = fitting.iter().map(|rule| rule.path_prefix.as_str()).collect::<Vec<_>>();
+    let matching = table.matching_rules(host, path);
+    let Some(rule) = matching.first() else { return Ok(None) };
+    let prefixes = matching.iter().map(|rule| rule.path_prefix.as_str()).collect::<Vec<_>>();
     let shares = rule.shares.iter().map(|share| format!("{} {}", share.service, share.weight));
     Ok(Some(format!(
         "route {}: host {host}, longest of the matching prefixes: {}; services by weight: {}",
--- a/crates/laurelstall_cli/src/lib.rs
+++ b/crates/laurelstall_cli/src/lib.rs
@@ -8,5 +8,5 @@
 pub const EXIT_SUCCESS: u8 = 0;
 /// Exit code for a failed operation.
 pub const EXIT_FAILURE: u8 = 1;
-/// Exit code for wrong usage or invalid settings.
+/// Exit code for wrong usage or an invalid file.
 pub const EXIT_USAGE: u8 = 2;
--- a/crates/laurelstall_cli/tests/check.rs
+++ b/crates/laurelstall_cli/tests/check.rs
@@ -44,7 +44,7 @@
 fn a_program_decides_a_described_request() {
     let files = example("faltgard");
     let (file, text) = files.iter().find(|(file, _)| file.contains("team-")).expect("a team's document");
-    let team = Team::from_text(file, text).expect("right");
+    let team = Team::from_text(file, text).expect("a valid document");
     let Ok(Plan::Route(route)) = decide(&team, "POST /sell/wheat", &HeaderMap::new()) else {
         panic!("no route")
     };
@@ -100,7 +100,7 @@
 #[test]
 fn a_route_table_explains_the_route_of_a_request() {
     assert_eq!(check_text("team-a.toml", ROUTES), Vec::new());
-    let team = Team::from_text("team-a.toml", ROUTES).expect("right");
+    let team = Team::from_text("team-a.toml", ROUTES).expect("a valid document");
     let explanation =
         explain_route(&team, "GET /grain/rye").expect("it is described").expect("a route takes it");
     assert!(
--- a/crates/laurelstall_config/src/configuration.rs
+++ b/crates/laurelstall_config/src/configuration.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// The configuration that is in effect, with indexes for the look-ups that each call needs.
+/// The current configuration, with indexes for the look-ups that each call needs.
 #[derive(Debug, Clone, Default)]
 pub struct Configuration {
     /// The list of hosts.
@@ -58,7 +58,7 @@
     pub system: Arc<SystemLimits>,
     /// The teams' documents by team name.
     pub teams: BTreeMap<String, Arc<Team>>,
-    /// The version of each document that is in effect.
+    /// The version of each document of this configuration.
     pub versions: BTreeMap<DocumentName, Version>,
     /// The name of the team to which each host name of callers belongs.
     team_by_caller_host: HashMap<String, String>,
@@ -94,7 +94,7 @@
         next
     }
 
-    /// Returns the version of a document that is in effect; [`Version::NONE`] if there is none.
+    /// Returns the version of a document of this configuration; [`Version::NONE`] if there is none.
     pub fn version(&self, name: &DocumentName) -> Version {
         self.versions.get(name).copied().unwrap_or_default()
     }
--- a/crates/laurelstall_config/src/fleet.rs
+++ b/crates/laurelstall_config/src/fleet.rs
@@ -140,11 +140,11 @@
     pub fn with_dropped_targets(&self, before: &Self) -> Option<Self> {
         let mut kept = self.clone();
         let listed = self.hosts.iter().map(|host| host.name.as_str()).collect::<HashSet<_>>();
-        let dropped = before.hosts.iter().filter(|host| !listed.contains(host.name.as_str()));
-        let dropped = dropped.filter(|host| host.state == HostState::Live);
-        let dropped = dropped.map(|host| (host.name.as_str(), host)).collect::<HashMap<_, _>>();
+        let missing = before.hosts.iter().filter(|host| !listed.contains(host.name.as_str()));
+        let missing = missing.filter(|host| host.state == HostState::Live);
+        let missing = missing.map(|host| (host.name.as_str(), host)).collect::<HashMap<_, _>>();
         for target in &before.targets {
-            let Some(host) = dropped.get(target.host.as_str()) else { continue };
+            let Some(host) = missing.get(target.host.as_str()) else { continue };
             kept.hosts.push((*host).clone());
             kept.targets.push(target.clone());
         }
--- a/crates/laurelstall_config/src/route.rs
+++ b/crates/laurelstall_config/src/route.rs
@@ -79,8 +79,8 @@
         check.range("route.tries", self.tries, 1..=10);
         check.range("route.importance", self.importance, 0..=ROUTE_IMPORTANCE_MAX);
         check_data_centres(&self.data_centres, "route.data_centres", check);
-        let weights = self.shares.iter().map(|share| u64::from(share.weight)).sum::<u64>();
-        check.range("route.share", weights, 1..=1_000_000);
+        let total_weight = self.shares.iter().map(|share| u64::from(share.weight)).sum::<u64>();
+        check.range("route.share", total_weight, 1..=1_000_000);
         for share in &self.shares {
             let is_known = services.contains(&share.service.as_str());
             check.ensure(
@@ -97,7 +97,7 @@
 struct RouteEntry {
     rule: Arc<RouteRule>,
     /// Sum of the weights of the route's services.
-    weights: u64,
+    total_weight: u64,
     /// Next value of the sequence that splits requests.
     next: AtomicU32,
 }
@@ -115,9 +115,9 @@
     pub fn new(rules: &[RouteRule], seed: u32) -> Self {
         let mut by_host: HashMap<String, HashMap<String, RouteEntry>> = HashMap::new();
         for (index, rule) in rules.iter().enumerate() {
-            let weights = rule.shares.iter().map(|share| u64::from(share.weight)).sum();
+            let total_weight = rule.shares.iter().map(|share| u64::from(share.weight)).sum();
             let next = AtomicU32::new(seed.wrapping_add(index as u32).wrapping_mul(SPLIT_STEP));
-            let entry = RouteEntry { rule: Arc::new(rule.clone()), weights, next };
+            let entry = RouteEntry { rule: Arc::new(rule.clone()), total_weight, next };
             let host_routes = by_host.entry(rule.host.to_ascii_lowercase()).or_default();
             host_routes.entry(rule.path_prefix.clone()).or_insert(entry);
         }
@@ -162,7 +162,7 @@
             return &only.service;
         }
         let point = self.next.fetch_add(SPLIT_STEP, Ordering::Relaxed);
-        let mut remainder = (u64::from(point) * self.weights) >> u32::BITS;
+        let mut remainder = (u64::from(point) * self.total_weight) >> u32::BITS;
         for share in shares {
             let weight = u64::from(share.weight);
             if remainder < weight {
--- a/crates/laurelstall_config/src/settings.rs
+++ b/crates/laurelstall_config/src/settings.rs
@@ -124,7 +124,7 @@
     /// Limit on the calls of a workspace above its quota, summed over all nodes.
     #[serde(default)]
     pub quota: QuotaBounds,
-    /// Maximum age in ms of a node's list of keys; with an older list the node rejects calls that need a key. 0 for no
+    /// Maximum age in ms of a node's list of keys; with an older list the node refuses calls that need a key. 0 for no
     /// limit.
     #[serde(default)]
     pub keys_age_max_ms: u64,
@@ -134,7 +134,7 @@
     pub regions: BTreeMap<String, String>,
 }
 
-/// Number of watches within `keys_age_max_ms`: the result of a watch may be as old as the watch.
+/// Number of watches within `keys_age_max_ms`. A node's keys may be as old as the time for which a watch waits.
 const WATCHES_PER_KEYS_AGE: u64 = 5;
 
 impl PlatformSettings {
@@ -160,13 +160,13 @@
         }
     }
 
-    /// Returns the limits on what targets get.
+    /// Returns the limits on repeated requests and on the calls of cold targets.
     pub fn target_bounds(&self) -> TargetBounds {
         TargetBounds { repeats: self.repeats, cold: self.cold }
     }
 }
 
-/// The platform's limits on what targets get, summed over all nodes.
+/// The platform's limits on repeated requests and on the calls of cold targets, summed over all nodes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TargetBounds {
     /// Limit on repeated requests.
@@ -262,7 +262,7 @@
     pub budget_max_ms: u64,
     /// Maximum depth of nested calls.
     pub depth_max: u32,
-    /// Number of bytes of a request that are buffered, so that a rejected call can be retried at another target.
+    /// Number of bytes of a request that are buffered, so that a refused call can be retried at another target.
     pub replay_bytes: usize,
 }
 
--- a/crates/laurelstall_config/src/system.rs
+++ b/crates/laurelstall_config/src/system.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// How nodes distribute the configuration among each other.
+/// Settings of the distribution of configuration among nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SpreadLimits {
@@ -97,7 +97,7 @@
     /// Limits on callers.
     pub callers: PublishedCallerLimits,
     /// Cost of a remote data centre in percent: a call is sent there if that raises the probability that its answer is
-    /// in time by more than this.
+    /// in time by more than this many percentage points.
     pub data_centre_change_percent: u32,
     /// Latencies between data centres; [`DISTANCE_DEFAULT_US`] for pairs that are not listed.
     #[serde(rename = "distance")]
--- a/crates/laurelstall_config/src/team.rs
+++ b/crates/laurelstall_config/src/team.rs
@@ -17,7 +17,7 @@
 /// Maximum length of a routing program in bytes.
 pub const PROGRAM_BYTES_MAX: usize = 64 * 1024;
 
-/// Header by which a target marks an answer to a request that it rejected before running any of it.
+/// Header by which a target marks an answer to a request that it refused before running any of it.
 pub const SHED_HEADER: &str = "laurelstall-shed";
 
 /// Limits of a service, for the guards of its targets and for the entry nodes that call it.
--- a/crates/laurelstall_policy/src/plan.rs
+++ b/crates/laurelstall_policy/src/plan.rs
@@ -46,7 +46,8 @@
     pub is_public: bool,
     /// Data centres in which the request may be served; empty for all.
     pub data_centres: Vec<String>,
-    /// Field `observe`, 0 to 100: percentage of the observation budget that calls like this may use.
+    /// Field `observe`, 0 to 100: percentage of the observation budget that calls with this decision may
+    /// use.
     pub observe_percent: u8,
 }
 
