--- a/crates/laurelstall_config/src/fleet.rs
+++ b/crates/laurelstall_config/src/fleet.rs
@@ -137,7 +137,7 @@
     /// such targets.
     ///
     /// A host that this fleet still lists gets none of its earlier targets back.
-    pub fn with_dropped_targets(&self, before: &Self) -> Option<Self> {
+    pub fn with_missing_targets(&self, before: &Self) -> Option<Self> {
         let mut kept = self.clone();
         let listed = self.hosts.iter().map(|host| host.name.as_str()).collect::<HashSet<_>>();
         let missing = before.hosts.iter().filter(|host| !listed.contains(host.name.as_str()));
--- a/crates/laurelstall_config/src/settings.rs
+++ b/crates/laurelstall_config/src/settings.rs
@@ -117,13 +117,13 @@
     pub watch_wait_ms: u64,
     /// Limit on retries, hedges and other repeated requests, summed over all nodes.
     #[serde(default)]
-    pub repeats: RepeatBounds,
+    pub repeats: RepeatLimits,
     /// Limit on the calls that a cold target gets, summed over all nodes.
     #[serde(default)]
-    pub cold: ColdBounds,
+    pub cold: ColdLimits,
     /// Limit on the calls of a workspace above its quota, summed over all nodes.
     #[serde(default)]
-    pub quota: QuotaBounds,
+    pub quota: QuotaLimits,
     /// Maximum age in ms of a node's list of keys; with an older list the node refuses calls that need a key. 0 for no
     /// limit.
     #[serde(default)]
@@ -144,9 +144,9 @@
             address,
             read_timeout_ms: read_timeout_ms_default(),
             watch_wait_ms: watch_wait_ms_default(),
-            repeats: RepeatBounds::default(),
-            cold: ColdBounds::default(),
-            quota: QuotaBounds::default(),
+            repeats: RepeatLimits::default(),
+            cold: ColdLimits::default(),
+            quota: QuotaLimits::default(),
             keys_age_max_ms: 0,
             regions: BTreeMap::new(),
         }
@@ -161,32 +161,32 @@
     }
 
     /// Returns the limits on repeated requests and on the calls of cold targets.
-    pub fn target_bounds(&self) -> TargetBounds {
-        TargetBounds { repeats: self.repeats, cold: self.cold }
+    pub fn target_limits(&self) -> TargetLimits {
+        TargetLimits { repeats: self.repeats, cold: self.cold }
     }
 }
 
 /// The platform's limits on repeated requests and on the calls of cold targets, summed over all nodes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct TargetBounds {
+pub struct TargetLimits {
     /// Limit on repeated requests.
-    pub repeats: RepeatBounds,
+    pub repeats: RepeatLimits,
     /// Limit on the calls of a cold target.
-    pub cold: ColdBounds,
+    pub cold: ColdLimits,
 }
 
 /// The platform's limit on the calls that a cold target gets within any second, relative to the rate that its service
 /// declares.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ColdBounds {
+pub struct ColdLimits {
     /// Multiple of the declared rate; 0 for no limit.
     pub overrun: f64,
     /// Number of calls on top of that; may be a fraction.
     pub slack: f64,
 }
 
-impl ColdBounds {
+impl ColdLimits {
     /// Returns the maximum number of calls that a cold target may get within any second, where `per_s` is the sustained
     /// rate per second that its service declares; 0 for no limit.
     pub fn calls_per_s(&self, per_s: f64) -> u32 {
@@ -200,7 +200,7 @@
 /// The platform's limit on the calls of a workspace that run above its quota, within any window.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct QuotaBounds {
+pub struct QuotaLimits {
     /// Length of the window in s.
     pub window_s: f64,
     /// Number of calls above the quota, as a share of the calls that the quota allows in a window.
@@ -209,7 +209,7 @@
     pub slack: f64,
 }
 
-impl Default for QuotaBounds {
+impl Default for QuotaLimits {
     /// No calls above the quota, within windows of five seconds.
     fn default() -> Self {
         Self { window_s: 5.0, overrun: 0.0, slack: 0.0 }
@@ -219,14 +219,14 @@
 /// The platform's limit on repeated requests to the targets of a service, summed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct RepeatBounds {
+pub struct RepeatLimits {
     /// Maximum number of repeated requests in any ten seconds, as a share of the calls.
     pub share: f64,
     /// Number of repeated requests in any ten seconds on top of that; may be a fraction.
     pub reserve: f64,
 }
 
-impl Default for RepeatBounds {
+impl Default for RepeatLimits {
     fn default() -> Self {
         Self { share: 0.2, reserve: 54.0 }
     }
--- a/crates/laurelstall_config/src/system.rs
+++ b/crates/laurelstall_config/src/system.rs
@@ -25,7 +25,7 @@
 /// Settings of the distribution of configuration among nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct SpreadLimits {
+pub struct ReplicationSettings {
     /// Number of nodes in each data centre that watch the platform.
     pub readers_per_data_centre: usize,
     /// Number of partners, the peers that a node gossips with.
@@ -38,7 +38,7 @@
     pub read_pause_max_ms: u64,
 }
 
-impl Default for SpreadLimits {
+impl Default for ReplicationSettings {
     fn default() -> Self {
         Self {
             readers_per_data_centre: 2,
@@ -93,7 +93,7 @@
     /// Limits on observing targets.
     pub observe: ObserveLimits,
     /// Distribution of the configuration among nodes.
-    pub spread: SpreadLimits,
+    pub spread: ReplicationSettings,
     /// Limits on callers.
     pub callers: PublishedCallerLimits,
     /// Cost of a remote data centre in percent: a call is sent there if that raises the probability that its answer is
--- a/crates/laurelstall_node/src/active_config.rs
+++ b/crates/laurelstall_node/src/active_config.rs
@@ -7,7 +7,7 @@
     document::{Document, DocumentName},
     fleet::{Fleet, FleetTarget},
     problem::{Checker, ConfigError},
-    system::SpreadLimits,
+    system::ReplicationSettings,
     team::Team,
 };
 use laurelstall_peer::{
@@ -154,7 +154,7 @@
             return listed;
         }
         drop(retain_until);
-        let Some(extended) = listed.with_dropped_targets(before) else { return listed };
+        let Some(extended) = listed.with_missing_targets(before) else { return listed };
         // Retained targets follow the listed ones.
         let missing = &extended.targets[listed.targets.len()..];
         let count = missing.len();
@@ -295,7 +295,7 @@
         self.snapshot.load().configuration.fleet.clone()
     }
 
-    fn spread_limits(&self) -> SpreadLimits {
+    fn replication_settings(&self) -> ReplicationSettings {
         self.snapshot.load().configuration.system.spread
     }
 }
--- a/crates/laurelstall_node/src/node.rs
+++ b/crates/laurelstall_node/src/node.rs
@@ -283,7 +283,7 @@
             clock,
             host: host.clone(),
             data_centre: data_centre.clone(),
-            bounds: settings.platform.quota,
+            limits: settings.platform.quota,
             client: client.clone(),
             replicator: replicator.clone(),
             active: active.clone(),
--- a/crates/laurelstall_node/src/quotas.rs
+++ b/crates/laurelstall_node/src/quotas.rs
@@ -4,7 +4,7 @@
     active_config::ActiveConfig,
     counters::{Counters, count},
 };
-use laurelstall_config::{fleet::Fleet, settings::QuotaBounds, workspace::Quota};
+use laurelstall_config::{fleet::Fleet, settings::QuotaLimits, workspace::Quota};
 use laurelstall_guard::clock::Clock;
 use laurelstall_peer::{
     client::PeerClient,
@@ -91,8 +91,8 @@
     pub host: String,
     /// The data centre.
     pub data_centre: String,
-    /// Bounds on how far quotas may be exceeded.
-    pub bounds: QuotaBounds,
+    /// Limits on how far quotas may be exceeded.
+    pub limits: QuotaLimits,
     /// Client for requests to other nodes.
     pub client: PeerClient,
     /// Replicates the configuration between nodes; knows the age of the platform data.
@@ -148,7 +148,7 @@
         workspace: &str,
         quota: &Quota,
     ) -> Result<QuotaToken, QuotaRefusal> {
-        let split = QuotaSplit::new(quota, &self.options.bounds);
+        let split = QuotaSplit::new(quota, &self.options.limits);
         let result = self.take_from_owners(fleet, workspace, &split).await;
         let mut workspaces = self.workspaces();
         let counts = &mut workspaces.entry(workspace.to_owned()).or_default().counts;
@@ -268,7 +268,7 @@
         let snapshot = self.options.active.load();
         let (team, name) = key.workspace.split_once('/')?;
         let quota = snapshot.keys.get(team)?.named(name)?.quota?;
-        let split = QuotaSplit::new(&quota, &self.options.bounds);
+        let split = QuotaSplit::new(&quota, &self.options.limits);
         if key.share >= split.shares {
             return None;
         }
--- a/crates/laurelstall_peer/src/replicator/anti_entropy.rs
+++ b/crates/laurelstall_peer/src/replicator/anti_entropy.rs
@@ -49,7 +49,7 @@
     /// A node whose host is not listed takes calls but is nobody's partner, so it receives only what it
     /// requests.
     fn exchange_interval_ms(&self) -> u64 {
-        let interval_ms = self.view.spread_limits().exchange_interval_ms;
+        let interval_ms = self.view.replication_settings().exchange_interval_ms;
         let fleet = self.view.fleet();
         let is_unlisted = !fleet.hosts.is_empty() && fleet.host(&self.options.host).is_none();
         if is_unlisted { interval_ms / UNLISTED_EXCHANGES } else { interval_ms }
--- a/crates/laurelstall_peer/src/replicator/standby_readers.rs
+++ b/crates/laurelstall_peer/src/replicator/standby_readers.rs
@@ -45,7 +45,7 @@
         if fleet.hosts.is_empty() {
             return if self.is_bootstrap_reader() { ReaderRole::Reader } else { ReaderRole::None };
         }
-        let count = self.view.spread_limits().readers_per_data_centre;
+        let count = self.view.replication_settings().readers_per_data_centre;
         let Some(ahead) = self.addresses_ahead() else { return ReaderRole::None };
         if ahead.len() < count {
             return ReaderRole::Reader;
@@ -71,7 +71,7 @@
     pub(super) async fn standby_loop(&self) {
         loop {
             sleep(self.jittered(CHECK_INTERVAL_MS)).await;
-            let count = self.view.spread_limits().readers_per_data_centre;
+            let count = self.view.replication_settings().readers_per_data_centre;
             let ahead = self.addresses_ahead().unwrap_or_default();
             let is_standby = (count..count + STANDBYS).contains(&ahead.len());
             let checked = if is_standby { ahead } else { Vec::new() };
--- a/crates/laurelstall_peer/tests/spreading.rs
+++ b/crates/laurelstall_peer/tests/spreading.rs
@@ -5,7 +5,7 @@
     document::{Document, DocumentName, Version},
     fleet::{Fleet, Host, HostState},
     problem::ConfigError,
-    system::SpreadLimits,
+    system::ReplicationSettings,
 };
 use laurelstall_guard::clock::Clock;
 use laurelstall_peer::{
@@ -78,8 +78,8 @@
         self.0.clone()
     }
 
-    fn spread_limits(&self) -> SpreadLimits {
-        SpreadLimits::default()
+    fn replication_settings(&self) -> ReplicationSettings {
+        ReplicationSettings::default()
     }
 }
 
--- a/crates/laurelstall_workspace/examples/quota_ways.rs
+++ b/crates/laurelstall_workspace/examples/quota_ways.rs
@@ -3,7 +3,7 @@
 
 use laurelstall_config::{
     fleet::{Fleet, Host, HostState},
-    settings::QuotaBounds,
+    settings::QuotaLimits,
     workspace::Quota,
 };
 use laurelstall_workspace::{
@@ -17,7 +17,7 @@
 
 const SIZES: [usize; 4] = [13, 83, 300, 1_000];
 const QUOTA: Quota = Quota { calls_per_s: 16.0, burst: 16.0 };
-const BOUNDS: QuotaBounds = QuotaBounds { window_s: 5.0, overrun: 0.25, slack: 20.0 };
+const LIMITS: QuotaLimits = QuotaLimits { window_s: 5.0, overrun: 0.25, slack: 20.0 };
 const WORKSPACES: usize = 10;
 const DATA_CENTRES: usize = 3;
 /// Call rate of a workspace below its quota, as a fraction of the quota.
@@ -129,7 +129,7 @@
     }
 
     fn split(&self) -> QuotaSplit {
-        let split = QuotaSplit::new(&QUOTA, &BOUNDS);
+        let split = QuotaSplit::new(&QUOTA, &LIMITS);
         if self.algorithm != Algorithm::OneOwner {
             return split;
         }
@@ -186,15 +186,15 @@
     /// Whether the workspace was below its quota a second ago.
     fn is_below_quota(&self, workspace: usize, now_us: u64) -> bool {
         let known_us = now_us - COUNTS_AGE_US.min(now_us);
-        let window_us = (BOUNDS.window_s * 1e6) as u64;
+        let window_us = (LIMITS.window_s * 1e6) as u64;
         let from_us = known_us.saturating_sub(window_us);
         let known =
             self.outcome.admitted_us[workspace].iter().filter(|us| **us <= known_us && **us > from_us);
-        (known.count() as f64) < QUOTA.calls_per_s * BOUNDS.window_s + QUOTA.burst
+        (known.count() as f64) < QUOTA.calls_per_s * LIMITS.window_s + QUOTA.burst
     }
 
     fn note_admitted(&mut self, workspace: usize, now_us: u64) {
-        let window_us = (BOUNDS.window_s * 1e6) as u64;
+        let window_us = (LIMITS.window_s * 1e6) as u64;
         let admitted = &mut self.outcome.admitted_us[workspace];
         admitted.push_back(now_us);
         // The counts cover a window before their own age.
@@ -203,7 +203,7 @@
         }
         let in_window = admitted.iter().filter(|us| **us + window_us > now_us).count() as f64;
         let limit =
-            (QUOTA.calls_per_s * BOUNDS.window_s + QUOTA.burst) * (1.0 + BOUNDS.overrun) + BOUNDS.slack;
+            (QUOTA.calls_per_s * LIMITS.window_s + QUOTA.burst) * (1.0 + LIMITS.overrun) + LIMITS.slack;
         self.outcome.largest_overrun = self.outcome.largest_overrun.max(in_window - limit);
     }
 
--- a/crates/laurelstall_workspace/src/quota_split.rs
+++ b/crates/laurelstall_workspace/src/quota_split.rs
@@ -1,6 +1,6 @@
 //! Splits the quota of a workspace into shares.
 
-use laurelstall_config::{settings::QuotaBounds, workspace::Quota};
+use laurelstall_config::{settings::QuotaLimits, workspace::Quota};
 
 /// Largest number of shares of a quota. When the owner of one is lost, the others still have two thirds of the quota.
 pub const SHARES_MAX: u8 = 3;
@@ -27,17 +27,17 @@
 }
 
 impl QuotaSplit {
-    /// Splits a quota; `bounds` tell by how much it may be exceeded.
+    /// Splits a quota; `limits` set by how much it may be exceeded.
     ///
     /// The allowed overrun is divided: `BURST_PART` enlarges the burst; the rest is the initial tokens of an owner that
     /// may restart `RESTARTS` times in a window without knowing which tokens were granted. It also covers shares with
     /// two owners while a new list of hosts spreads.
-    pub fn new(quota: &Quota, bounds: &QuotaBounds) -> Self {
+    pub fn new(quota: &Quota, limits: &QuotaLimits) -> Self {
         let calls = quota.calls_per_s + quota.burst;
         let shares = (calls / SHARE_CALLS_MIN).clamp(1.0, f64::from(SHARES_MAX)) as u8;
         let parts = f64::from(shares);
-        let window_calls = quota.calls_per_s * bounds.window_s + quota.burst;
-        let overrun = window_calls * bounds.overrun + bounds.slack;
+        let window_calls = quota.calls_per_s * limits.window_s + quota.burst;
+        let overrun = window_calls * limits.overrun + limits.slack;
         // A bucket smaller than one token would never grant one.
         let size = ((quota.burst + overrun * BURST_PART) / parts).max(1.0);
         let initial_tokens = (overrun * (1.0 - BURST_PART) / RESTARTS / parts).min(size);
--- a/crates/laurelstall_workspace/tests/quotas.rs
+++ b/crates/laurelstall_workspace/tests/quotas.rs
@@ -2,7 +2,7 @@
 
 use laurelstall_config::{
     fleet::{Fleet, Host, HostState},
-    settings::QuotaBounds,
+    settings::QuotaLimits,
     workspace::Quota,
 };
 use laurelstall_workspace::{
@@ -16,7 +16,7 @@
 
 const WORKSPACE: &str = "main/bakery";
 const QUOTA: Quota = Quota { calls_per_s: 30.0, burst: 30.0 };
-const BOUNDS: QuotaBounds = QuotaBounds { window_s: 5.0, overrun: 0.25, slack: 20.0 };
+const LIMITS: QuotaLimits = QuotaLimits { window_s: 5.0, overrun: 0.25, slack: 20.0 };
 /// Time at which the tests start, because clocks do not start at zero.
 const BEGIN_US: u64 = 1_000_000;
 
@@ -38,7 +38,7 @@
 }
 
 fn split() -> QuotaSplit {
-    QuotaSplit::new(&QUOTA, &BOUNDS)
+    QuotaSplit::new(&QUOTA, &LIMITS)
 }
 
 #[test]
@@ -56,7 +56,7 @@
 #[test]
 fn small_quotas_have_fewer_shares_and_each_can_grant_a_token() {
     for calls_per_s in [0.01, 0.5, 2.0, 8.0, 1_000.0] {
-        let split = QuotaSplit::new(&Quota { calls_per_s, burst: 0.0 }, &BOUNDS);
+        let split = QuotaSplit::new(&Quota { calls_per_s, burst: 0.0 }, &LIMITS);
         assert!(split.size >= 1.0 && (1..=3).contains(&split.shares));
         let sum = split.per_s * f64::from(split.shares);
         assert!((sum - calls_per_s).abs() < 1e-9);
@@ -219,12 +219,12 @@
         }
         granted.insert(step, sum);
     }
-    let window_steps = (BOUNDS.window_s * 1e6) as u64 / STEP_US;
+    let window_steps = (LIMITS.window_s * 1e6) as u64 / STEP_US;
     let in_window =
         |from: u64| (from..from + window_steps).filter_map(|step| granted.get(&step)).sum::<u32>();
     let worst = (0..STEPS - window_steps).map(in_window).max().unwrap_or(0);
-    let window_calls = QUOTA.calls_per_s * BOUNDS.window_s + QUOTA.burst;
-    f64::from(worst) - (window_calls * (1.0 + BOUNDS.overrun) + BOUNDS.slack)
+    let window_calls = QUOTA.calls_per_s * LIMITS.window_s + QUOTA.burst;
+    f64::from(worst) - (window_calls * (1.0 + LIMITS.overrun) + LIMITS.slack)
 }
 
 #[test]
