--- a/crates/laurelstall_crash/tests/blame_model.rs
+++ b/crates/laurelstall_crash/tests/quarantine_model.rs
@@ -16,11 +16,11 @@
 const HARMLESS_PER_S: f64 = 100.0;
 const FREQUENT_REQUESTS: u64 = 20;
 const RUN_MS: i64 = 120;
-const DEADLY_RUN_MS: i64 = 80;
+const HARMFUL_RUN_MS: i64 = 80;
 const REPORT_DELAY_MS: i64 = 50;
 const FAULTS_START_MS: i64 = 5_000;
 const DOWN_MS: i64 = 2_000;
-const DEADLY: u64 = 1_000_000;
+const HARMFUL: u64 = 1_000_000;
 const SERVICE: &str = "team/service";
 
 #[derive(Clone, Copy)]
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy)]
 struct Faults {
     /// Arrivals of the request that crashes targets.
-    deadly_per_s: f64,
+    harmful_per_s: f64,
     /// Crashes of single targets without a request that causes them.
     crashes_per_s: f64,
     /// Crashes of three targets at once.
@@ -49,9 +49,9 @@
 
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Number of targets that the deadly request crashed.
-    deadly_crashes: usize,
-    /// Time in ms at which the deadly request was first quarantined.
+    /// Number of targets that the harmful request crashed.
+    harmful_crashes: usize,
+    /// Time in ms at which the harmful request was first quarantined.
     quarantined_after_ms: Option<i64>,
     /// Number of unique and frequent harmless requests that were quarantined at any time.
     unique_quarantined: usize,
@@ -104,8 +104,8 @@
             if now_ms < FAULTS_START_MS {
                 continue;
             }
-            if self.happens(faults.deadly_per_s) {
-                self.arrive(DEADLY, true, DEADLY_RUN_MS, now_ms);
+            if self.happens(faults.harmful_per_s) {
+                self.arrive(HARMFUL, true, HARMFUL_RUN_MS, now_ms);
             }
             if self.happens(faults.crashes_per_s) {
                 let index = self.rng.random_range(0..TARGETS);
@@ -134,7 +134,7 @@
 
     fn arrive(&mut self, number: u64, is_repeat: bool, run_ms: i64, now_ms: i64) {
         if self.is_quarantined(number, now_ms) {
-            self.outcome.refused += usize::from(number != DEADLY);
+            self.outcome.refused += usize::from(number != HARMFUL);
             return;
         }
         let is_available = |target: &&mut Target| target.down_until_ms <= now_ms && target.runs.len() < SLOTS;
@@ -151,10 +151,10 @@
             let ended =
                 self.targets[index].runs.extract_if(.., |run| run.until_ms <= now_ms).collect::<Vec<_>>();
             for run in ended {
-                if run.digest == DEADLY {
+                if run.digest == HARMFUL {
                     self.targets[index].runs.push(run);
                     self.crash_target(index, now_ms);
-                    self.outcome.deadly_crashes += 1;
+                    self.outcome.harmful_crashes += 1;
                     break;
                 }
                 self.table.note_success(digest(run.digest), now_ms * 1_000);
@@ -196,7 +196,7 @@
     }
 
     fn repeat(&mut self, lost: Vec<Run>, now_ms: i64) {
-        for run in lost.into_iter().filter(|run| !run.is_repeat && run.digest != DEADLY) {
+        for run in lost.into_iter().filter(|run| !run.is_repeat && run.digest != HARMFUL) {
             self.arrive(run.digest, true, RUN_MS, now_ms);
         }
     }
@@ -219,7 +219,7 @@
 
     fn note_quarantined(&mut self, number: u64, now_ms: i64) {
         match number {
-            DEADLY => self.outcome.quarantined_after_ms = self.outcome.quarantined_after_ms.or(Some(now_ms)),
+            HARMFUL => self.outcome.quarantined_after_ms = self.outcome.quarantined_after_ms.or(Some(now_ms)),
             number if number < FREQUENT_REQUESTS => self.outcome.frequent_quarantined += 1,
             _ => self.outcome.unique_quarantined += 1,
         }
@@ -235,19 +235,19 @@
     outcomes.iter().map(figure).sum::<usize>() as f64 / outcomes.len() as f64
 }
 
-const NO_FAULTS: Faults = Faults { deadly_per_s: 0.0, crashes_per_s: 0.0, rack_crashes_per_s: 0.0 };
+const NO_FAULTS: Faults = Faults { harmful_per_s: 0.0, crashes_per_s: 0.0, rack_crashes_per_s: 0.0 };
 
 #[test]
 fn a_request_that_crashes_targets_is_always_quarantined() {
-    for deadly_per_s in [0.5, 5.0, 20.0] {
-        let outcomes = simulate(100, 30, Faults { deadly_per_s, ..NO_FAULTS });
-        let crashes = mean(&outcomes, |outcome| outcome.deadly_crashes);
-        let most = outcomes.iter().map(|outcome| outcome.deadly_crashes).max();
+    for harmful_per_s in [0.5, 5.0, 20.0] {
+        let outcomes = simulate(100, 30, Faults { harmful_per_s, ..NO_FAULTS });
+        let crashes = mean(&outcomes, |outcome| outcome.harmful_crashes);
+        let most = outcomes.iter().map(|outcome| outcome.harmful_crashes).max();
         let unique = mean(&outcomes, |outcome| outcome.unique_quarantined);
         let frequent = mean(&outcomes, |outcome| outcome.frequent_quarantined);
         let refused = mean(&outcomes, |outcome| outcome.refused);
         println!(
-            "{deadly_per_s}/s: crashes {crashes:.2}, most {most:?}, quarantined unique {unique:.2} frequent {frequent:.2}, \
+            "{harmful_per_s}/s: crashes {crashes:.2}, most {most:?}, quarantined unique {unique:.2} frequent {frequent:.2}, \
              refused {refused:.2}"
         );
         assert!(outcomes.iter().all(|outcome| outcome.quarantined_after_ms.is_some()));
--- a/crates/laurelstall_peer/examples/pack_cost.rs
+++ b/crates/laurelstall_peer/examples/pack_cost.rs
@@ -7,7 +7,7 @@
 };
 use laurelstall_peer::{
     message::PullItem,
-    store::{Acceptor, Store},
+    store::{Acceptor, DocumentStore},
 };
 use std::{net::IpAddr, time::Instant};
 
@@ -44,11 +44,11 @@
 
 fn main() {
     for hosts in SIZES {
-        let mut store = Store::default();
+        let mut store = DocumentStore::default();
         let (old, new) = (list(hosts, 1), list(hosts, 2));
         let known_checksum = old.checksum();
-        store.offer(old, &AcceptAll);
-        store.offer(new, &AcceptAll);
+        store.apply(old, &AcceptAll);
+        store.apply(new, &AcceptAll);
         for (what, known_version) in [("delta", Version::new(1)), ("whole", Version::NONE)] {
             let item = PullItem { name: DocumentName::Fleet, known_version, known_checksum };
             let times = (0..ASKERS).map(|_| {
--- a/crates/laurelstall_peer/src/attempt.rs
+++ b/crates/laurelstall_peer/src/attempt.rs
@@ -99,7 +99,7 @@
     pub outcome: AttemptOutcome,
     /// Load hint on the target, if the budget for observation allowed one.
     pub hint: Option<Hint>,
-    /// Crash report on the request if the target crashed while running it.
+    /// Crash report on the request; `None` unless the target crashed while running it.
     pub ended: Option<CrashReport>,
     /// Unread body of a request that did not run.
     pub unread: Option<AnswerBody>,
--- a/crates/laurelstall_peer/src/body.rs
+++ b/crates/laurelstall_peer/src/body.rs
@@ -14,7 +14,7 @@
 /// Error of a body that ended early.
 pub type BodyError = Box<dyn Error + Send + Sync>;
 
-/// A body from any source.
+/// Body of a request or an answer from any source.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
 /// A body that arrives on an `h2` stream, preceded by data that was read already.
--- a/crates/laurelstall_peer/src/client.rs
+++ b/crates/laurelstall_peer/src/client.rs
@@ -361,7 +361,7 @@
         return AttemptOutcome::Unknown(UnknownCause::AnswerLost("unreadable answer"));
     };
     let (first, stream): (Bytes, RecvStream) = reader.into_rest();
-    let body = GuardedBody { inner: StreamBody::new(first, stream), _resources: resources };
+    let body = TrackedBody { inner: StreamBody::new(first, stream), _resources: resources };
     AttemptOutcome::Answered { status, headers, body: body.boxed_unsync() }
 }
 
@@ -407,12 +407,13 @@
     }
 }
 
-struct GuardedBody {
+/// Body of an answer that holds its resources until it is read or dropped.
+struct TrackedBody {
     inner: StreamBody,
     _resources: AnswerResources,
 }
 
-impl Body for GuardedBody {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/laurelstall_peer/src/crash_registry.rs
+++ b/crates/laurelstall_peer/src/crash_registry.rs
@@ -52,11 +52,11 @@
     }
 
     /// Records that a target crashed while these requests were running.
-    pub fn note_crash(&self, end: u64, service: &str, digests: &[RequestDigest]) {
+    pub fn note_crash(&self, crash_id: u64, service: &str, digests: &[RequestDigest]) {
         let now_us = self.now_us();
-        let before = self.verdicts(digests);
+        let before = self.statuses(digests);
         let reports =
-            self.table().note_crash(TargetCrash { id: end, at_us: now_us }, service, digests, now_us);
+            self.table().note_crash(TargetCrash { id: crash_id, at_us: now_us }, service, digests, now_us);
         self.log_changes(&before);
         self.queue(reports);
     }
@@ -96,7 +96,7 @@
     /// Merges crash reports of another node.
     pub fn merge_reports(&self, reports: &[CrashReport]) {
         let digests = reports.iter().map(|report| report.digest).collect::<Vec<_>>();
-        let before = self.verdicts(&digests);
+        let before = self.statuses(&digests);
         let changed = self.table().merge_reports(reports, self.now_us());
         self.log_changes(&before);
         self.queue(changed);
@@ -143,7 +143,7 @@
         self.has_unsent.notify_one();
     }
 
-    fn verdicts(&self, digests: &[RequestDigest]) -> Vec<(RequestDigest, QuarantineStatus)> {
+    fn statuses(&self, digests: &[RequestDigest]) -> Vec<(RequestDigest, QuarantineStatus)> {
         digests.iter().map(|digest| (*digest, self.quarantine_status(*digest))).collect()
     }
 
@@ -157,8 +157,8 @@
                 (_, QuarantineStatus::Quarantined { retry_after_ms }) => log::warn!(
                     "request {digest}: quarantined for {retry_after_ms} ms, its last target crashed {age_ms} ms ago"
                 ),
-                (QuarantineStatus::Harmless, QuarantineStatus::Suspected(ends)) => log::info!(
-                    "request {digest}: suspected, it was running in {ends} target crashes, the last one {age_ms} ms ago"
+                (QuarantineStatus::Harmless, QuarantineStatus::Suspected(crashes)) => log::info!(
+                    "request {digest}: suspected, it was running in {crashes} target crashes, the last one {age_ms} ms ago"
                 ),
                 (
                     QuarantineStatus::Quarantined { .. } | QuarantineStatus::HalfOpen,
--- a/crates/laurelstall_peer/src/delta.rs
+++ b/crates/laurelstall_peer/src/delta.rs
@@ -2,14 +2,14 @@
 //! receiver holds.
 //!
 //! A delta is the new text compressed with the old text as dictionary. A checksum verifies the rebuilt
-//! text. The method follows "Frontier RL Is Cheaper Than You Think" (Fireworks).
+//! text. "Frontier RL Is Cheaper Than You Think" (Fireworks) describes the same method for model weights.
 
 use quick_error::quick_error;
 use std::io;
 use zstd::bulk::{Compressor, Decompressor};
 
-/// Compression level.
-pub const LEVEL: i32 = 3;
+/// zstd compression level.
+pub const ZSTD_LEVEL: i32 = 3;
 
 quick_error! {
     /// A text that could not be rebuilt.
@@ -34,12 +34,12 @@
 
 /// Compresses the whole of `text`.
 pub fn pack_whole(text: &str) -> Vec<u8> {
-    zstd::bulk::compress(text.as_bytes(), LEVEL).expect("compressing in memory")
+    zstd::bulk::compress(text.as_bytes(), ZSTD_LEVEL).expect("compressing in memory")
 }
 
 /// Compresses `text` as a delta to `base`.
 pub fn pack_delta(base: &str, text: &str) -> Vec<u8> {
-    let compressor = Compressor::with_dictionary(LEVEL, base.as_bytes());
+    let compressor = Compressor::with_dictionary(ZSTD_LEVEL, base.as_bytes());
     let packed = compressor.and_then(|mut compressor| compressor.compress(text.as_bytes()));
     packed.expect("compressing in memory")
 }
--- a/crates/laurelstall_peer/src/fleet_corrector.rs
+++ b/crates/laurelstall_peer/src/fleet_corrector.rs
@@ -64,19 +64,19 @@
 }
 
 impl FleetCorrector {
-    /// Applies the newest list, which is from the given era of the platform; `in_force` is the list that
+    /// Applies the newest list, which is from the given era of the platform; `followed` is the list that
     /// the node followed until now. Returns whether the platform was restored since the previous list.
-    pub fn update(&mut self, listed: Arc<Fleet>, era: u64, in_force: &Fleet, now: Instant) -> bool {
-        let has_returned = self.era.is_some_and(|before| before < era);
-        if has_returned {
-            self.start_corrections(in_force, now);
+    pub fn update(&mut self, listed: Arc<Fleet>, era: u64, followed: &Fleet, now: Instant) -> bool {
+        let was_restored = self.era.is_some_and(|before| before < era);
+        if was_restored {
+            self.start_corrections(followed, now);
         } else if self.era == Some(era) {
             self.record_changes(&listed, now);
         }
         self.era = Some(era);
         self.listed = listed;
         self.evict_old(now);
-        has_returned
+        was_restored
     }
 
     /// Returns the list to follow now: the published one with corrections.
@@ -106,7 +106,7 @@
         let (departed, unlisted) = (corrections.departed.len(), corrections.unlisted.len());
         let evacuations = corrections.evacuations.len();
         format!(
-            "corrections: {departed} departed hosts, {unlisted} hosts missing from the copy, {evacuations} data centres"
+            "corrections: {departed} departed hosts, {unlisted} hosts missing from the copy, evacuation state of {evacuations} data centres"
         )
     }
 
@@ -180,16 +180,16 @@
     }
 
     /// Turns the list that was followed and its recent changes into corrections.
-    fn start_corrections(&mut self, in_force: &Fleet, now: Instant) {
+    fn start_corrections(&mut self, followed: &Fleet, now: Instant) {
         let mut corrections =
             Corrections { since: now, ..self.corrections.take().unwrap_or_else(|| Corrections::new(now)) };
         let departed = self.departed.iter().map(|(instance, timed)| (instance.clone(), timed.value));
         corrections.departed.extend(departed);
-        corrections.unlisted = live_hosts(in_force).collect();
+        corrections.unlisted = live_hosts(followed).collect();
         corrections
             .evacuations
             .extend(self.evacuations.iter().map(|(name, timed)| (name.clone(), timed.value)));
-        corrections.evacuations.extend(in_force.evacuated.iter().map(|name| (name.clone(), true)));
+        corrections.evacuations.extend(followed.evacuated.iter().map(|name| (name.clone(), true)));
         self.corrections = Some(corrections);
     }
 
@@ -215,11 +215,12 @@
         for (instance, departed) in changes {
             self.record_departure(instance, departed, now);
         }
-        let is_listed = |name: &&String| !listed.evacuated.contains(name);
-        let taken_back = self.listed.evacuated.iter().filter(is_listed).map(|name| (name.clone(), false));
+        let is_in_service = |name: &&String| !listed.evacuated.contains(name);
+        let returned_to_service =
+            self.listed.evacuated.iter().filter(is_in_service).map(|name| (name.clone(), false));
         let evacuated = listed.evacuated.iter().filter(|name| !self.listed.evacuated.contains(name));
         let evacuation_changes =
-            taken_back.chain(evacuated.map(|name| (name.clone(), true))).collect::<Vec<_>>();
+            returned_to_service.chain(evacuated.map(|name| (name.clone(), true))).collect::<Vec<_>>();
         for (name, is_evacuated) in evacuation_changes {
             self.corrections.as_mut().map(|corrections| corrections.evacuations.remove(&name));
             self.evacuations.insert(name, Timed { value: is_evacuated, at: now });
--- a/crates/laurelstall_peer/src/frame.rs
+++ b/crates/laurelstall_peer/src/frame.rs
@@ -26,7 +26,7 @@
         }
         /// The message is longer than allowed.
         TooLong(bytes: usize) {
-            display("message of {bytes} bytes")
+            display("message of {bytes} bytes is too long")
         }
         /// The message cannot be decoded, or has trailing bytes.
         Malformed(message: String) {
@@ -105,7 +105,7 @@
         decode(&payload)
     }
 
-    /// Returns the data that was read too far, and the rest of the stream.
+    /// Returns the data that was read beyond the last message, and the rest of the stream.
     pub fn into_rest(self) -> (Bytes, RecvStream) {
         (self.buffer.freeze(), self.stream)
     }
--- a/crates/laurelstall_peer/src/lib.rs
+++ b/crates/laurelstall_peer/src/lib.rs
@@ -34,6 +34,6 @@
         platform::{Listing, PlatformError, PlatformSource},
         replicator::{Replicator, ReplicatorOptions},
         server::{PeerHandler, PeerServer},
-        store::{Acceptor, OfferOutcome, Store},
+        store::{Acceptor, ApplyOutcome, DocumentStore},
     };
 }
--- a/crates/laurelstall_peer/src/link.rs
+++ b/crates/laurelstall_peer/src/link.rs
@@ -6,7 +6,7 @@
 pub trait Link: Send + Sync + fmt::Debug {
     /// Whether the network between this node and `other` is partitioned.
     ///
-    /// A connection over a cut link accepts writes without delivering them, and is reset once the link
+    /// A connection over a partitioned link accepts writes without delivering them, and is reset once the link
     /// works again.
     fn is_cut(&self, other: SocketAddr) -> bool;
 }
--- a/crates/laurelstall_peer/src/message.rs
+++ b/crates/laurelstall_peer/src/message.rs
@@ -177,7 +177,8 @@
     /// Time since the first platform read that no outage separates from the last one, in ms.
     pub platform_reads_from_age_ms: u64,
     /// Time since the last known outage of the platform ended, in ms; `None` if there was none.
-    pub platform_return_age_ms: Option<u64>,
+    #[serde(rename = "platform_return_age_ms")]
+    pub outage_end_age_ms: Option<u64>,
     /// Hash of all crash reports.
     pub crashes_hash: u64,
     /// Hash of the corrections since the last restore of the platform; 0 for none.
--- a/crates/laurelstall_peer/src/meter.rs
+++ b/crates/laurelstall_peer/src/meter.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// Interval at which a connection over a cut link checks whether the link works again.
-const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a connection over a partitioned link checks whether the link works again.
+const PARTITION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A TCP stream that counts its bytes.
 #[derive(Debug)]
@@ -86,18 +86,25 @@
     meter: Arc<Meter>,
     activity: Arc<Activity>,
     link: Option<(Arc<dyn Link>, SocketAddr)>,
-    was_cut: bool,
-    cut_check: Option<Pin<Box<Sleep>>>,
+    was_partitioned: bool,
+    partition_check: Option<Pin<Box<Sleep>>>,
 }
 
 impl MeteredStream {
     /// Wraps `inner` and counts its bytes in `meter`.
     pub fn new(inner: TcpStream, meter: Arc<Meter>) -> Self {
         meter.open.fetch_add(1, Ordering::Relaxed);
-        Self { inner, meter, activity: Arc::default(), link: None, was_cut: false, cut_check: None }
+        Self {
+            inner,
+            meter,
+            activity: Arc::default(),
+            link: None,
+            was_partitioned: false,
+            partition_check: None,
+        }
     }
 
-    /// Makes the connection fail whenever `link` to `other` is cut.
+    /// Makes the connection fail whenever `link` to `other` is partitioned.
     pub fn with_link(mut self, link: Arc<dyn Link>, other: SocketAddr) -> Self {
         self.link = Some((link, other));
         self
@@ -108,22 +115,23 @@
         self.activity.clone()
     }
 
-    fn is_cut(&mut self) -> io::Result<bool> {
-        let is_cut = self.link.as_ref().is_some_and(|(link, other)| link.is_cut(*other));
-        if self.was_cut && !is_cut {
+    fn is_partitioned(&mut self) -> io::Result<bool> {
+        let is_partitioned = self.link.as_ref().is_some_and(|(link, other)| link.is_cut(*other));
+        if self.was_partitioned && !is_partitioned {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        self.was_cut |= is_cut;
-        Ok(is_cut)
+        self.was_partitioned |= is_partitioned;
+        Ok(is_partitioned)
     }
 
-    fn poll_cut_check(&mut self, cx: &mut Context<'_>) {
+    fn poll_partition_check(&mut self, cx: &mut Context<'_>) {
         loop {
-            let cut_check = self.cut_check.get_or_insert_with(|| Box::pin(sleep(CUT_CHECK_INTERVAL)));
-            if cut_check.as_mut().poll(cx).is_pending() {
+            let partition_check =
+                self.partition_check.get_or_insert_with(|| Box::pin(sleep(PARTITION_CHECK_INTERVAL)));
+            if partition_check.as_mut().poll(cx).is_pending() {
                 return;
             }
-            self.cut_check = None;
+            self.partition_check = None;
         }
     }
 }
@@ -140,8 +148,8 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.is_cut()? {
-            self.poll_cut_check(cx);
+        if self.is_partitioned()? {
+            self.poll_partition_check(cx);
             return Poll::Pending;
         }
         let before = buf.filled().len();
@@ -155,7 +163,7 @@
 
 impl AsyncWrite for MeteredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.is_cut()? {
+        if self.is_partitioned()? {
             return Poll::Ready(Ok(buf.len()));
         }
         let polled = Pin::new(&mut self.inner).poll_write(cx, buf);
@@ -170,7 +178,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        if self.is_cut()? {
+        if self.is_partitioned()? {
             return Poll::Ready(Ok(bufs.iter().map(|buf| buf.len()).sum()));
         }
         let polled = Pin::new(&mut self.inner).poll_write_vectored(cx, bufs);
--- a/crates/laurelstall_peer/src/platform.rs
+++ b/crates/laurelstall_peer/src/platform.rs
@@ -36,7 +36,7 @@
     /// A failed read of the platform.
     #[derive(Debug)]
     pub enum PlatformError {
-        /// The platform did not answer, or answered with an error.
+        /// The platform did not answer, answered with an error or unreadably, or has not been read yet.
         Unreachable(message: String) {
             display("{message}")
         }
--- a/crates/laurelstall_peer/src/replication_state.rs
+++ b/crates/laurelstall_peer/src/replication_state.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Default)]
 pub struct ReplicationCounts {
     /// Documents that were activated.
-    pub taken: AtomicU64,
+    pub activated: AtomicU64,
     /// Documents that were rejected for faults.
-    pub refused: AtomicU64,
+    pub rejected: AtomicU64,
     /// Transfers that could not be rebuilt.
     pub deltas_failed: AtomicU64,
     /// Requests to the platform; a watch counts as one.
--- a/crates/laurelstall_peer/src/replicator.rs
+++ b/crates/laurelstall_peer/src/replicator.rs
@@ -13,7 +13,7 @@
     platform::PlatformSource,
     read_span::ReadSpan,
     replication_state::{PartnerState, ReplicationCounts},
-    store::{Acceptor, OfferOutcome, Store},
+    store::{Acceptor, ApplyOutcome, DocumentStore},
 };
 use futures_util::stream::FuturesUnordered;
 use laurelstall_config::{
@@ -99,7 +99,7 @@
     platform: Arc<dyn PlatformSource>,
     acceptor: Arc<dyn Acceptor>,
     view: Arc<dyn ReplicationView>,
-    store: Mutex<Store>,
+    store: Mutex<DocumentStore>,
     /// Platform reads known to this node, its own and those of others; `None` before the first.
     known_reads: Mutex<Option<ReadSpan>>,
     /// Time at which the platform held nothing newer than this node, in µs of this node's clock; 0 for
@@ -136,7 +136,7 @@
 }
 
 impl Replicator {
-    /// Creates a node that holds no documents.
+    /// Creates a replicator that holds no documents.
     pub fn new(
         options: ReplicatorOptions,
         clock: Clock,
@@ -185,7 +185,7 @@
     }
 
     /// Locks and returns the store of held documents.
-    pub fn store(&self) -> MutexGuard<'_, Store> {
+    pub fn store(&self) -> MutexGuard<'_, DocumentStore> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -228,7 +228,7 @@
             self.read_loop(),
             self.standby_loop(),
             self.offer_loop(),
-            self.crash_news_loop(),
+            self.crash_report_loop(),
             self.exchange_loop(),
             self.confirm_stale_read()
         );
@@ -237,7 +237,7 @@
     /// Answers a node that compares its versions with ours.
     pub fn answer_exchange(&self, theirs: &Exchange) -> PeerAnswer {
         self.merge_status(theirs);
-        let ours = self.exchange();
+        let ours = self.own_status();
         if ours.versions_hash == theirs.versions_hash {
             return PeerAnswer::Same(ours);
         }
@@ -248,7 +248,7 @@
     /// Records another node's platform status and pulls the versions that are newer there.
     ///
     /// An offer is ignored unless its address has the IP of the connection or belongs to a listed node, so
-    /// that a stranger cannot direct nodes to arbitrary addresses. A host with several addresses may
+    /// that an unknown sender cannot direct nodes to arbitrary addresses. A host with several addresses may
     /// connect from any of them.
     pub fn handle_offer(
         self: &Arc<Self>,
@@ -282,10 +282,10 @@
         let version = document.version;
         let held = self.store().version(&name);
         let fleet_before = self.view.fleet();
-        let offer = self.store().offer(document, &*self.acceptor);
-        match offer {
-            OfferOutcome::Accepted => {
-                self.counts.taken.fetch_add(1, Ordering::Relaxed);
+        let outcome = self.store().apply(document, &*self.acceptor);
+        match outcome {
+            ApplyOutcome::Accepted => {
+                self.counts.activated.fetch_add(1, Ordering::Relaxed);
                 self.note_origin(&name, version, held, origin);
                 if !origin.is_stale {
                     let change = Change { version, is_read_here: origin.peer.is_none() };
@@ -297,17 +297,17 @@
                 }
                 return true;
             }
-            OfferOutcome::Rejected(error) => {
-                self.counts.refused.fetch_add(1, Ordering::Relaxed);
+            ApplyOutcome::Rejected(error) => {
+                self.counts.rejected.fetch_add(1, Ordering::Relaxed);
                 log::error!("{name} version {version} is rejected, the active version stays: {error}");
             }
-            OfferOutcome::Conflict => log::error!(
+            ApplyOutcome::Conflict => log::error!(
                 "{name} version {version} differs from the held text of this version; it is ignored"
             ),
-            OfferOutcome::TooLarge => log::error!(
+            ApplyOutcome::TooLarge => log::error!(
                 "{name} version {version} is rejected: the document is too large, or there are too many documents"
             ),
-            OfferOutcome::NotNewer => {}
+            ApplyOutcome::NotNewer => {}
         }
         false
     }
@@ -341,12 +341,13 @@
         Duration::from_micros(self.rng().random_range(pause_us / 2..=pause_us + pause_us / 2))
     }
 
-    fn exchange(&self) -> Exchange {
+    /// Returns this node's platform status and hashes, to compare with another node's.
+    fn own_status(&self) -> Exchange {
         Exchange {
             versions_hash: self.store().versions_hash(),
             platform_read_age_ms: self.platform_read_age_ms(),
             platform_reads_from_age_ms: self.platform_reads_from_age_ms(),
-            platform_return_age_ms: self.platform_return_age_ms(),
+            outage_end_age_ms: self.outage_end_age_ms(),
             crashes_hash: self.crashes.hash(),
             corrections_hash: self.acceptor.corrections_hash(),
             documents_age_ms: self.documents_age_ms(),
--- a/crates/laurelstall_peer/src/replicator/anti_entropy.rs
+++ b/crates/laurelstall_peer/src/replicator/anti_entropy.rs
@@ -17,7 +17,7 @@
 /// Maximum number of partners whose last exchange is remembered.
 const PARTNER_STATES_MAX: usize = 64;
 /// Factor by which a node whose host is not listed exchanges more often, at a cost of about 1 KB/s.
-const UNLISTED_EXCHANGES: u64 = 4;
+const UNLISTED_EXCHANGE_FACTOR: u64 = 4;
 /// Time to wait for a partner before the next one is contacted in the same round.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum number of nodes that are contacted in a round in which no partner answers.
@@ -52,7 +52,7 @@
         let interval_ms = self.view.spread_limits().exchange_interval_ms;
         let fleet = self.view.fleet();
         let is_unlisted = !fleet.hosts.is_empty() && fleet.host(&self.options.host).is_none();
-        if is_unlisted { interval_ms / UNLISTED_EXCHANGES } else { interval_ms }
+        if is_unlisted { interval_ms / UNLISTED_EXCHANGE_FACTOR } else { interval_ms }
     }
 
     /// Contacts partners in turn and returns whether one answered.
@@ -105,7 +105,7 @@
     /// Exchanges versions with a node that answers within `time_limit`, and pulls what is newer there. The
     /// pull has no such limit.
     async fn exchange_within(&self, address: SocketAddr, time_limit: Duration) -> Result<(), PeerError> {
-        let request = PeerRequest::Exchange(self.exchange());
+        let request = PeerRequest::Exchange(self.own_status());
         let requested_us = self.clock.now_us();
         let answered = timeout(time_limit, self.client.request(address, &request)).await;
         let answer = answered.unwrap_or(Err(PeerError::TimedOut));
--- a/crates/laurelstall_peer/src/replicator/crash_reports.rs
+++ b/crates/laurelstall_peer/src/replicator/crash_reports.rs
@@ -24,7 +24,7 @@
 
 impl Replicator {
     /// Sends each crash report to the partners as soon as this node has it. Rounds run concurrently.
-    pub(super) async fn crash_news_loop(self: &Arc<Self>) {
+    pub(super) async fn crash_report_loop(self: &Arc<Self>) {
         let mut rounds = JoinSet::new();
         loop {
             let reports = self.crashes.unsent_reports().await;
--- a/crates/laurelstall_peer/src/replicator/join.rs
+++ b/crates/laurelstall_peer/src/replicator/join.rs
@@ -23,7 +23,7 @@
 /// Time that a joining node waits for its peers once a seed has sent documents.
 const PEERS_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time that a joining node waits for the first peer to confirm a stale read.
-const NEWEST_TIMEOUT: Duration = Duration::from_millis(100);
+const RECENT_READ_TIMEOUT: Duration = Duration::from_millis(100);
 /// Mean pause before a node checks whether its stale read was confirmed by other nodes, in ms.
 const CONFIRMATION_PAUSE_MS: u64 = 1_500;
 /// Maximum number of platform reads that confirm a stale read.
@@ -65,12 +65,12 @@
             }
             match self.read_platform_stale().await {
                 Ok(true) => {
-                    // A pull that it has begun would block others.
+                    // A pull that these queries have begun would hold the pull lock.
                     drop(peers);
                     if self.may_lack_updates() {
                         self.query_some_peers().await;
                     } else {
-                        let _ = timeout(NEWEST_TIMEOUT, self.query_peers_for_newest()).await;
+                        let _ = timeout(RECENT_READ_TIMEOUT, self.query_peers_until_recent_read()).await;
                     }
                     return;
                 }
@@ -94,7 +94,7 @@
         let platform = pin!(self.read_platform(None));
         match select(platform, peers).await {
             Either::Left((Ok(_), peers)) => {
-                // A pull that it has begun would block others.
+                // A pull that these queries have begun would hold the pull lock.
                 drop(peers);
                 self.recover_lost_updates().await;
             }
@@ -132,7 +132,7 @@
     }
 
     /// Makes a full read of the platform if this node joined through a stale read and no other node has
-    /// reported a recent read since. The connections to other nodes may be cut.
+    /// reported a recent read since. This node may be partitioned from the others.
     pub(super) async fn confirm_stale_read(&self) {
         if !self.has_read_stale.load(Ordering::Relaxed) {
             return;
@@ -151,11 +151,11 @@
     /// Fetches the newest versions from some peers, for example after this node was paused.
     pub async fn catch_up(&self) {
         // The exchanges repair what did not arrive in time.
-        let _ = timeout(PEERS_TIMEOUT, self.query_peers_for_newest()).await;
+        let _ = timeout(PEERS_TIMEOUT, self.query_peers_until_recent_read()).await;
     }
 
     /// Exchanges with some peers until this node knows of a recent platform read.
-    async fn query_peers_for_newest(&self) {
+    async fn query_peers_until_recent_read(&self) {
         let mut peers = self.exchange_with_each(self.partners().into_iter().take(JOIN_PEERS));
         while peers.next().await.is_some() {
             if self.platform_read_age_ms() < FRESH_READ_AGE_MS {
--- a/crates/laurelstall_peer/src/replicator/offers.rs
+++ b/crates/laurelstall_peer/src/replicator/offers.rs
@@ -111,7 +111,7 @@
         address: SocketAddr,
         versions: Vec<(DocumentName, Version)>,
     ) -> bool {
-        let request = PeerRequest::Offer(self.options.peer_address, self.exchange(), versions);
+        let request = PeerRequest::Offer(self.options.peer_address, self.own_status(), versions);
         let answered = self.client.request(address, &request).await;
         answered.inspect_err(|error| log::debug!("offer to {address} failed: {error}")).is_ok()
     }
--- a/crates/laurelstall_peer/src/replicator/platform_reads.rs
+++ b/crates/laurelstall_peer/src/replicator/platform_reads.rs
@@ -3,7 +3,7 @@
 use super::{Origin, Replicator, standby_readers::ReaderRole};
 use crate::{
     platform::{Listing, PlatformError},
-    store::OfferOutcome,
+    store::ApplyOutcome,
 };
 use laurelstall_config::document::{Document, DocumentName, Version};
 use rand::RngExt;
@@ -15,8 +15,8 @@
 /// Factor on the maximum pause of a substitute reader, which keeps the load of all retries on the platform
 /// low. The regular readers notice when the platform is back.
 const SUBSTITUTE_PAUSE_FACTOR: u64 = 4;
-/// A watch that ends sooner without a change did not wait, in µs.
-const WATCH_SHORT_US: u64 = 500_000;
+/// Minimum duration of a watch that waited for a change, in µs; a shorter one returned at once.
+const WATCH_WAIT_MIN_US: u64 = 500_000;
 /// Pause between two checks of this node's reader role, in ms.
 const ROLE_CHECK_MS: u64 = 1_000;
 /// Pause of any reader but the first of its data centre after a watch that returned a change at once, in
@@ -24,7 +24,7 @@
 ///
 /// In a large fleet most watches return at once. The first reader distributes what it reads within some ms;
 /// the others only need to replace it when it is lost.
-const BACKUP_READER_PAUSE_MS: u64 = 750;
+const LATER_READER_PAUSE_MS: u64 = 750;
 /// Mean number of fallback reads of the whole fleet per `fallback_read_after_ms`.
 const FALLBACK_READS: f64 = 16.0;
 
@@ -40,7 +40,7 @@
                 continue;
             }
             let started_us = self.clock.now_us();
-            let taken = self.counts.taken.load(Ordering::Relaxed);
+            let activated = self.counts.activated.load(Ordering::Relaxed);
             match self.read_platform(after).await {
                 Ok(sequence) => {
                     after = Some(sequence);
@@ -48,13 +48,13 @@
                         log::info!("platform: reachable again after {failures} failed reads");
                     }
                     failures = 0;
-                    let has_change = self.counts.taken.load(Ordering::Relaxed) > taken;
-                    let is_short = self.clock.now_us() - started_us < WATCH_SHORT_US;
+                    let has_change = self.counts.activated.load(Ordering::Relaxed) > activated;
+                    let is_short = self.clock.now_us() - started_us < WATCH_WAIT_MIN_US;
                     if is_short && !has_change {
                         // A platform with stale data may answer each watch at once with known versions.
                         sleep(self.jittered(ROLE_CHECK_MS)).await;
-                    } else if is_short && self.is_backup_reader() {
-                        sleep(self.jittered(BACKUP_READER_PAUSE_MS)).await;
+                    } else if is_short && self.has_working_predecessor() {
+                        sleep(self.jittered(LATER_READER_PAUSE_MS)).await;
                     }
                 }
                 Err(error) => {
@@ -76,9 +76,9 @@
     /// Reads once, if no read is known for long, with a probability that keeps the rate of the whole fleet
     /// constant.
     async fn read_as_fallback(&self) {
-        let is_due = sleep(self.jittered(ROLE_CHECK_MS));
+        let pause = sleep(self.jittered(ROLE_CHECK_MS));
         tokio::select! {
-            () = is_due => {}
+            () = pause => {}
             () = self.role_changed.notified() => return,
         }
         let after_ms = self.view.spread_limits().fallback_read_after_ms;
@@ -86,8 +86,8 @@
             return;
         }
         let hosts = self.view.fleet().hosts.len().max(1) as f64;
-        let round = after_ms as f64 / ROLE_CHECK_MS as f64;
-        let chance = (FALLBACK_READS / hosts / round.max(1.0)).min(1.0);
+        let rounds = after_ms as f64 / ROLE_CHECK_MS as f64;
+        let chance = (FALLBACK_READS / hosts / rounds.max(1.0)).min(1.0);
         if self.rng().random_bool(chance) {
             // The next round retries a failed read.
             let _ = self.read_platform(None).await;
@@ -115,12 +115,12 @@
 
     fn apply_inconsistent(&self, document: &Document) {
         let (name, version) = (&document.name, document.version);
-        let offer = self.store().offer_inconsistent(document, &*self.acceptor);
-        match offer {
-            OfferOutcome::Accepted => {
+        let outcome = self.store().apply_inconsistent(document, &*self.acceptor);
+        match outcome {
+            ApplyOutcome::Accepted => {
                 log::info!("{name}: active from a stale read, with parts up to version {version}")
             }
-            OfferOutcome::Rejected(error) => {
+            ApplyOutcome::Rejected(error) => {
                 log::error!("{name}: document of a stale read is rejected: {error}")
             }
             _ => {}
--- a/crates/laurelstall_peer/src/replicator/platform_status.rs
+++ b/crates/laurelstall_peer/src/replicator/platform_status.rs
@@ -84,7 +84,7 @@
             let first_us = self.time_us(theirs.platform_reads_from_age_ms).min(last_us);
             self.note_reads(ReadSpan { first_us, last_us });
         }
-        if let Some(age_ms) = theirs.platform_return_age_ms {
+        if let Some(age_ms) = theirs.outage_end_age_ms {
             self.note_outage_end(self.time_us(age_ms));
         }
     }
@@ -122,7 +122,7 @@
 
     /// Time since the last platform outage ended, in ms; `None` if there was none, or if known reads
     /// contradict it.
-    pub(super) fn platform_return_age_ms(&self) -> Option<u64> {
+    pub(super) fn outage_end_age_ms(&self) -> Option<u64> {
         let ended_us = *self.outage_end_us();
         ended_us.filter(|us| !self.rules_out_outage_before(*us)).map(|us| self.age_ms(us))
     }
--- a/crates/laurelstall_peer/src/replicator/standby_readers.rs
+++ b/crates/laurelstall_peer/src/replicator/standby_readers.rs
@@ -18,8 +18,7 @@
 };
 use tokio::time::{Duration, sleep, timeout};
 
-/// Standbys in each data centre. With two readers, all of them being lost is unlikely even if half of the
-/// fleet is.
+/// Number of standbys in each data centre. Losing half of the fleet rarely hits all readers and standbys.
 const STANDBYS: usize = 3;
 /// Mean pause between two rounds of checks, in ms. Keeps the traffic of a standby at about half of its
 /// control budget.
@@ -46,20 +45,20 @@
             return if self.is_bootstrap_reader() { ReaderRole::Reader } else { ReaderRole::None };
         }
         let count = self.view.spread_limits().readers_per_data_centre;
-        let Some(ahead) = self.addresses_ahead() else { return ReaderRole::None };
-        if ahead.len() < count {
+        let Some(preceding) = self.preceding_addresses() else { return ReaderRole::None };
+        if preceding.len() < count {
             return ReaderRole::Reader;
         }
         let failed = self.failed_readers.lock().unwrap_or_else(PoisonError::into_inner);
-        let working = ahead.iter().filter(|address| !failed.contains(*address)).count();
+        let working = preceding.iter().filter(|address| !failed.contains(*address)).count();
         if working < count { ReaderRole::Substitute } else { ReaderRole::None }
     }
 
     /// Whether another node precedes this one in the reader order and can read, as far as known.
-    pub(super) fn is_backup_reader(&self) -> bool {
-        let ahead = self.addresses_ahead().unwrap_or_default();
+    pub(super) fn has_working_predecessor(&self) -> bool {
+        let preceding = self.preceding_addresses().unwrap_or_default();
         let failed = self.failed_readers.lock().unwrap_or_else(PoisonError::into_inner);
-        ahead.iter().any(|address| !failed.contains(address))
+        preceding.iter().any(|address| !failed.contains(address))
     }
 
     /// Whether this node's last read of the platform, if any, succeeded.
@@ -72,11 +71,11 @@
         loop {
             sleep(self.jittered(CHECK_INTERVAL_MS)).await;
             let count = self.view.spread_limits().readers_per_data_centre;
-            let ahead = self.addresses_ahead().unwrap_or_default();
-            let is_standby = (count..count + STANDBYS).contains(&ahead.len());
-            let checked = if is_standby { ahead } else { Vec::new() };
+            let preceding = self.preceding_addresses().unwrap_or_default();
+            let is_standby = (count..count + STANDBYS).contains(&preceding.len());
+            let checked = if is_standby { preceding } else { Vec::new() };
             let answers = join_all(checked.iter().map(|address| self.check_can_read(*address))).await;
-            let failed = checked.into_iter().zip(answers).filter(|(_, check_can_read)| !check_can_read);
+            let failed = checked.into_iter().zip(answers).filter(|(_, can_read)| !can_read);
             self.set_failed_readers(failed.map(|(address, _)| address).collect());
         }
     }
@@ -117,10 +116,10 @@
 
     /// Addresses of the nodes before this one in the reader order of its data centre; `None` if its own
     /// host is not listed.
-    fn addresses_ahead(&self) -> Option<Vec<SocketAddr>> {
+    fn preceding_addresses(&self) -> Option<Vec<SocketAddr>> {
         let fleet = self.view.fleet();
         fleet.host(&self.options.host)?;
-        let ahead = preceding_hosts(&fleet, &self.options.host, &self.options.data_centre);
-        Some(ahead.into_iter().map(|host| host.node_address).collect())
+        let preceding = preceding_hosts(&fleet, &self.options.host, &self.options.data_centre);
+        Some(preceding.into_iter().map(|host| host.node_address).collect())
     }
 }
--- a/crates/laurelstall_peer/src/server.rs
+++ b/crates/laurelstall_peer/src/server.rs
@@ -35,8 +35,8 @@
 pub const CONNECTIONS_MAX: usize = 1_200;
 /// Maximum number of concurrent streams per connection.
 pub const STREAMS_MAX: u32 = 1_000;
-/// Time limit for receiving the head of a stream.
-pub const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for a handshake, for the head of a stream, and for a body that is sent at once.
+pub const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Processes the requests of other nodes.
 pub trait PeerHandler: Send + Sync + fmt::Debug {
@@ -112,7 +112,7 @@
         builder.initial_window_size(STREAM_WINDOW_BYTES);
         builder.initial_connection_window_size(CONNECTION_WINDOW_BYTES);
         builder.max_concurrent_streams(STREAMS_MAX);
-        let Ok(connection) = timeout(HEAD_TIMEOUT, builder.handshake(stream)).await else { return Ok(()) };
+        let Ok(connection) = timeout(RECEIVE_TIMEOUT, builder.handshake(stream)).await else { return Ok(()) };
         let mut connection = connection?;
         let mut stopping = self.stopping.subscribe();
         let mut is_stopping = false;
@@ -145,7 +145,7 @@
         from: SocketAddr,
     ) -> Result<(), BodyError> {
         let mut reader = FrameReader::new(request.into_body());
-        let head = timeout(HEAD_TIMEOUT, reader.read::<PeerRequest>(HEAD_BYTES_MAX)).await;
+        let head = timeout(RECEIVE_TIMEOUT, reader.read::<PeerRequest>(HEAD_BYTES_MAX)).await;
         let head = match head {
             Ok(Ok(head)) => head,
             Ok(Err(FrameError::Stream(error))) => return Err(error.into()),
@@ -231,7 +231,7 @@
     match kind {
         BodyKind::Empty => Ok(AttemptBody::Whole(Bytes::new())),
         BodyKind::AtOnce => {
-            let body = timeout(HEAD_TIMEOUT, StreamBody::new(first, stream).collect()).await;
+            let body = timeout(RECEIVE_TIMEOUT, StreamBody::new(first, stream).collect()).await;
             Ok(AttemptBody::Whole(body??.to_bytes()))
         }
         BodyKind::AfterAdmission | BodyKind::BufferedAfterAdmission => {
--- a/crates/laurelstall_peer/src/store.rs
+++ b/crates/laurelstall_peer/src/store.rs
@@ -28,9 +28,9 @@
     /// All faults of the document; nothing is changed then.
     fn accept(&self, document: &Document) -> Result<(), ConfigError>;
 
-    /// Called when a platform outage ended `returned_age_ms` ago that was long enough for registrations to
+    /// Called when a platform outage ended `ended_age_ms` ago that was long enough for registrations to
     /// expire: targets missing from the next lists may still be running.
-    fn on_platform_outage_end(&self, _returned_age_ms: u64) {}
+    fn on_platform_outage_end(&self, _ended_age_ms: u64) {}
 
     /// A hash of the corrections since the platform was last restored from an older copy; 0 for none.
     fn corrections_hash(&self) -> u64 {
@@ -50,9 +50,9 @@
     fn record_delay(&self, _delay_us: u64) {}
 }
 
-/// Result of offering a document to the store.
+/// Result of applying a document to the store.
 #[derive(Debug, Clone)]
-pub enum OfferOutcome {
+pub enum ApplyOutcome {
     /// The document is active now.
     Accepted,
     /// The held version is at least as new.
@@ -77,54 +77,54 @@
 
 /// Documents by name; the version of a document never decreases.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct DocumentStore {
     entries: BTreeMap<DocumentName, Entry>,
-    refused: BTreeMap<DocumentName, Version>,
-    /// Versions of documents that are active but not held; see [`Store::offer_inconsistent`].
+    rejected: BTreeMap<DocumentName, Version>,
+    /// Versions of documents that are active but not held; see [`DocumentStore::apply_inconsistent`].
     inconsistent: BTreeMap<DocumentName, Version>,
     conflicts: u64,
 }
 
-impl Store {
-    /// Offers a document from any source.
-    pub fn offer(&mut self, document: Document, acceptor: &dyn Acceptor) -> OfferOutcome {
+impl DocumentStore {
+    /// Holds and activates a document from any source if it is newer than the held one and valid.
+    pub fn apply(&mut self, document: Document, acceptor: &dyn Acceptor) -> ApplyOutcome {
         let held = self.version(&document.name);
         if document.version < held.max(self.inconsistent_version(&document.name))
             || document.version == Version::NONE
         {
-            return OfferOutcome::NotNewer;
+            return ApplyOutcome::NotNewer;
         }
         if document.version == held {
             return self.check_conflict(&document);
         }
         let is_new_name = !self.entries.contains_key(&document.name);
         if document.text.len() > DOCUMENT_BYTES_MAX || (is_new_name && self.entries.len() >= DOCUMENTS_MAX) {
-            return OfferOutcome::TooLarge;
+            return ApplyOutcome::TooLarge;
         }
         if let Err(error) = acceptor.accept(&document) {
-            let refused = self.refused.entry(document.name).or_default();
-            *refused = document.version.max(*refused);
-            return OfferOutcome::Rejected(error);
+            let rejected = self.rejected.entry(document.name).or_default();
+            *rejected = document.version.max(*rejected);
+            return ApplyOutcome::Rejected(error);
         }
         self.insert(document);
-        OfferOutcome::Accepted
+        ApplyOutcome::Accepted
     }
 
     /// Activates a document whose parts may be from different moments, until a consistent one arrives.
     ///
     /// It is not held, compared or sent to other nodes, since their text of this version may differ. A
     /// consistent document replaces it unless it is older.
-    pub fn offer_inconsistent(&mut self, document: &Document, acceptor: &dyn Acceptor) -> OfferOutcome {
+    pub fn apply_inconsistent(&mut self, document: &Document, acceptor: &dyn Acceptor) -> ApplyOutcome {
         if self.entries.contains_key(&document.name)
             || document.version <= self.inconsistent_version(&document.name)
         {
-            return OfferOutcome::NotNewer;
+            return ApplyOutcome::NotNewer;
         }
         if let Err(error) = acceptor.accept(document) {
-            return OfferOutcome::Rejected(error);
+            return ApplyOutcome::Rejected(error);
         }
         self.inconsistent.insert(document.name.clone(), document.version);
-        OfferOutcome::Accepted
+        ApplyOutcome::Accepted
     }
 
     fn inconsistent_version(&self, name: &DocumentName) -> Version {
@@ -161,18 +161,18 @@
     /// Returns the rejected versions that are newer than the held ones.
     pub fn refused(&self) -> impl Iterator<Item = (&DocumentName, Version)> {
         let newer = |(name, version): &(&DocumentName, Version)| *version > self.version(name);
-        self.refused.iter().map(|(name, version)| (name, *version)).filter(newer)
+        self.rejected.iter().map(|(name, version)| (name, *version)).filter(newer)
     }
 
-    /// Number of offers that had a held version with another text.
+    /// Number of applied documents that had a held version with another text.
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
 
     /// Whether `version` is worth pulling: newer than the held one and not rejected before.
     pub fn wants(&self, name: &DocumentName, version: Version) -> bool {
-        let refused = self.refused.get(name).copied().unwrap_or_default();
-        version > self.version(name) && version >= self.inconsistent_version(name) && version != refused
+        let rejected = self.rejected.get(name).copied().unwrap_or_default();
+        version > self.version(name) && version >= self.inconsistent_version(name) && version != rejected
     }
 
     /// Returns what to pull from a node that holds the versions `theirs`.
@@ -252,13 +252,13 @@
         }
     }
 
-    fn check_conflict(&mut self, document: &Document) -> OfferOutcome {
+    fn check_conflict(&mut self, document: &Document) -> ApplyOutcome {
         let is_same = self.document(&document.name).is_some_and(|held| held.text == document.text);
         if is_same {
-            return OfferOutcome::NotNewer;
+            return ApplyOutcome::NotNewer;
         }
         self.conflicts += 1;
-        OfferOutcome::Conflict
+        ApplyOutcome::Conflict
     }
 
     fn insert(&mut self, document: Document) {
--- a/crates/laurelstall_peer/tests/crash_news.rs
+++ b/crates/laurelstall_peer/tests/crash_reports.rs
@@ -16,8 +16,8 @@
 /// Number of reachable nodes that do not quarantine the request.
 fn behind(mesh: &Mesh) -> usize {
     let reachable = mesh.nodes.iter().filter(|(address, _)| !mesh.unreachable.contains(*address));
-    let verdicts = reachable.map(|(_, replicator)| replicator.crashes().quarantine_status(CRASHING));
-    verdicts
+    let statuses = reachable.map(|(_, replicator)| replicator.crashes().quarantine_status(CRASHING));
+    statuses
         .filter(|quarantine_status| !matches!(quarantine_status, QuarantineStatus::Quarantined { .. }))
         .count()
 }
@@ -30,11 +30,11 @@
     started.elapsed()
 }
 
-/// Reports the crash of a target on this node under the request and some others.
-fn report_crash(mesh: &Mesh, node: usize, end: u64) {
-    let others = (0..12).map(|number| RequestDigest { whole: 100 * end + number, head: 2 });
+/// Reports to a node that its target crashed while running the request and some others.
+fn report_crash(mesh: &Mesh, node: usize, crash_id: u64) {
+    let others = (0..12).map(|number| RequestDigest { whole: 100 * crash_id + number, head: 2 });
     let running = others.chain([CRASHING]).collect::<Vec<_>>();
-    mesh.nodes[node].1.crashes().note_crash(end, "team/service", &running);
+    mesh.nodes[node].1.crashes().note_crash(crash_id, "team/service", &running);
 }
 
 /// Time from the second crash, on another node than the first, until all reachable nodes quarantine the
@@ -82,12 +82,12 @@
     for seed in 0..6 {
         let mesh = Mesh::start(13, seed).await;
         sleep(Duration::from_secs(5)).await;
-        let (cut, _) = mesh.nodes[0];
-        mesh.unreachable.add(cut);
+        let (partitioned, _) = mesh.nodes[0];
+        mesh.unreachable.add(partitioned);
         report_crash(&mesh, 1, 1);
         report_crash(&mesh, 2, 2);
         sleep(Duration::from_secs(10)).await;
-        mesh.unreachable.remove(cut);
+        mesh.unreachable.remove(partitioned);
         let took = time_to_all(&mesh).await;
         assert!(took <= BOUND * 5 / 2, "{took:?}");
     }
--- a/crates/laurelstall_peer/tests/eras.rs
+++ b/crates/laurelstall_peer/tests/eras.rs
@@ -45,14 +45,14 @@
         let old = Version::in_era(0, 100);
         mesh.nodes[0].1.apply(list(old));
         assert!(time_to_all(&mesh, old).await < BOUND, "seed {seed}");
-        let (cut, _) = mesh.nodes[8];
-        mesh.unreachable.add(cut);
+        let (partitioned, _) = mesh.nodes[8];
+        mesh.unreachable.add(partitioned);
         // One reader is in the new era already, while another one still takes a list of the old one.
         mesh.nodes[1].1.apply(list(Version::in_era(1, 7)));
         mesh.nodes[2].1.apply(list(Version::in_era(0, 101)));
         mesh.nodes[8].1.apply(list(Version::in_era(0, 102)));
         sleep(Duration::from_millis(500)).await;
-        mesh.unreachable.remove(cut);
+        mesh.unreachable.remove(partitioned);
         let took = time_to_all(&mesh, Version::in_era(1, 7)).await;
         assert!(took < BOUND, "seed {seed}: {took:?}");
         // A second restore, before all nodes have the next list of the first one.
--- a/crates/laurelstall_peer/tests/recent_fleet.rs
+++ b/crates/laurelstall_peer/tests/fleet_corrector.rs
@@ -49,42 +49,42 @@
 
 /// The list of hosts that a node follows over time.
 struct View {
-    recent: FleetCorrector,
+    corrector: FleetCorrector,
     now: Instant,
-    in_force: Arc<Fleet>,
+    followed: Arc<Fleet>,
 }
 
 impl View {
     fn new() -> Self {
-        Self { recent: FleetCorrector::default(), now: Instant::now(), in_force: Arc::default() }
+        Self { corrector: FleetCorrector::default(), now: Instant::now(), followed: Arc::default() }
     }
 
-    fn take(&mut self, era: u64, entries: &[Entry], evacuated: &[&str]) {
-        self.recent.update(list(entries, evacuated), era, &self.in_force, self.now);
-        self.update();
+    fn apply_list(&mut self, era: u64, entries: &[Entry], evacuated: &[&str]) {
+        self.corrector.update(list(entries, evacuated), era, &self.followed, self.now);
+        self.refresh();
     }
 
-    fn update(&mut self) {
-        self.in_force = self.recent.fleet(self.now);
+    fn refresh(&mut self) {
+        self.followed = self.corrector.fleet(self.now);
     }
 
     fn wait(&mut self, time: Duration) {
         self.now += time;
-        self.update();
+        self.refresh();
     }
 
     fn send_corrections(&self, other: &mut Self) {
-        if let Some(corrections) = self.recent.corrections(self.now) {
-            other.recent.merge(&corrections, other.now);
-            other.update();
+        if let Some(corrections) = self.corrector.corrections(self.now) {
+            other.corrector.merge(&corrections, other.now);
+            other.refresh();
         }
     }
 
     /// Names of the live targets in the list.
     fn serving(&self) -> Vec<&str> {
-        let targets = self.in_force.targets.iter();
+        let targets = self.followed.targets.iter();
         let is_live = |target: &&FleetTarget| {
-            self.in_force.host(&target.host).expect("it is listed").state == HostState::Live
+            self.followed.host(&target.host).expect("it is listed").state == HostState::Live
         };
         let mut names = targets.filter(is_live).map(|target| target.name.as_str()).collect::<Vec<_>>();
         names.sort_unstable();
@@ -95,17 +95,17 @@
 #[test]
 fn departed_targets_do_not_come_back_with_the_copy() {
     let mut view = View::new();
-    view.take(0, &[live("a"), live("b"), live("c")], &[]);
-    view.take(0, &[live("a"), leaving("b"), live("c")], &[]);
-    view.take(0, &[live("a"), leaving("b")], &[]);
-    view.take(1, &[live("a"), live("b"), live("c")], &[]);
+    view.apply_list(0, &[live("a"), live("b"), live("c")], &[]);
+    view.apply_list(0, &[live("a"), leaving("b"), live("c")], &[]);
+    view.apply_list(0, &[live("a"), leaving("b")], &[]);
+    view.apply_list(1, &[live("a"), live("b"), live("c")], &[]);
     assert_eq!(view.serving(), ["a"]);
-    assert!(view.in_force.host("h-b").is_some(), "its node is still running, and finishes its calls");
-    assert!(view.in_force.host("h-c").is_none());
+    assert!(view.followed.host("h-b").is_some(), "its node is still running, and finishes its calls");
+    assert!(view.followed.host("h-c").is_none());
     // Later lists still apply to the kept hosts.
-    view.take(1, &[live("a"), leaving("b"), live("c")], &[]);
+    view.apply_list(1, &[live("a"), leaving("b"), live("c")], &[]);
     view.wait(Duration::from_secs(5));
-    view.take(1, &[live("a")], &[]);
+    view.apply_list(1, &[live("a")], &[]);
     assert_eq!(view.serving(), ["a"]);
     view.wait(LONG);
     assert_eq!(view.serving(), ["a"]);
@@ -114,35 +114,35 @@
 #[test]
 fn a_later_start_of_a_departed_target_is_listed_at_once() {
     let mut view = View::new();
-    view.take(0, &[live("a"), live("b")], &[]);
-    view.take(0, &[leaving("a")], &[]);
+    view.apply_list(0, &[live("a"), live("b")], &[]);
+    view.apply_list(0, &[leaving("a")], &[]);
     let restarted = |name| Entry { started_unix_ms: 8, ..live(name) };
-    view.take(1, &[restarted("a"), restarted("b")], &[]);
+    view.apply_list(1, &[restarted("a"), restarted("b")], &[]);
     assert_eq!(view.serving(), ["a", "b"]);
 }
 
 #[test]
 fn a_removed_target_that_registers_again_is_listed() {
     let mut view = View::new();
-    view.take(0, &[live("a"), live("b")], &[]);
-    view.take(0, &[live("a")], &[]);
-    view.take(1, &[live("a"), live("b")], &[]);
+    view.apply_list(0, &[live("a"), live("b")], &[]);
+    view.apply_list(0, &[live("a")], &[]);
+    view.apply_list(1, &[live("a"), live("b")], &[]);
     assert_eq!(view.serving(), ["a"]);
-    view.take(1, &[live("a")], &[]);
-    view.take(1, &[live("a"), live("b")], &[]);
+    view.apply_list(1, &[live("a")], &[]);
+    view.apply_list(1, &[live("a"), live("b")], &[]);
     assert_eq!(view.serving(), ["a", "b"]);
 }
 
 #[test]
 fn targets_missing_from_the_copy_are_kept_for_the_grace_period() {
     let mut view = View::new();
-    view.take(3, &[live("a")], &[]);
-    view.take(3, &[live("a"), live("b"), live("c")], &[]);
-    view.take(4, &[live("a")], &[]);
+    view.apply_list(3, &[live("a")], &[]);
+    view.apply_list(3, &[live("a"), live("b"), live("c")], &[]);
+    view.apply_list(4, &[live("a")], &[]);
     assert_eq!(view.serving(), ["a", "b", "c"]);
-    view.take(4, &[live("a"), live("b")], &[]);
+    view.apply_list(4, &[live("a"), live("b")], &[]);
     // A host that was listed in the new era is no longer kept.
-    view.take(4, &[live("a")], &[]);
+    view.apply_list(4, &[live("a")], &[]);
     assert_eq!(view.serving(), ["a", "c"]);
     view.wait(REGISTRATION_GRACE);
     assert_eq!(view.serving(), ["a"]);
@@ -151,50 +151,50 @@
 #[test]
 fn evacuations_stay_as_last_set_before_the_restore() {
     let mut view = View::new();
-    view.take(0, &[live("a")], &["south"]);
-    view.take(0, &[live("a")], &["north"]);
-    view.take(1, &[live("a")], &["south"]);
-    assert_eq!(view.in_force.evacuated, ["north"]);
-    view.take(1, &[live("a"), live("b")], &["south"]);
-    assert_eq!(view.in_force.evacuated, ["north"]);
+    view.apply_list(0, &[live("a")], &["south"]);
+    view.apply_list(0, &[live("a")], &["north"]);
+    view.apply_list(1, &[live("a")], &["south"]);
+    assert_eq!(view.followed.evacuated, ["north"]);
+    view.apply_list(1, &[live("a"), live("b")], &["south"]);
+    assert_eq!(view.followed.evacuated, ["north"]);
     // Changes after the restore apply immediately.
-    view.take(1, &[live("a"), live("b")], &["north"]);
-    assert_eq!(view.in_force.evacuated, ["north"]);
-    view.take(1, &[live("a"), live("b")], &[]);
-    assert!(view.in_force.evacuated.is_empty());
+    view.apply_list(1, &[live("a"), live("b")], &["north"]);
+    assert_eq!(view.followed.evacuated, ["north"]);
+    view.apply_list(1, &[live("a"), live("b")], &[]);
+    assert!(view.followed.evacuated.is_empty());
 }
 
 #[test]
 fn corrections_expire() {
     let mut view = View::new();
-    view.take(0, &[live("a"), live("b")], &["south"]);
-    view.take(0, &[leaving("a")], &["south"]);
-    view.take(1, &[live("a"), live("b")], &[]);
-    let next = view.recent.next_change(view.now).expect("corrections apply");
+    view.apply_list(0, &[live("a"), live("b")], &["south"]);
+    view.apply_list(0, &[leaving("a")], &["south"]);
+    view.apply_list(1, &[live("a"), live("b")], &[]);
+    let next = view.corrector.next_change(view.now).expect("corrections apply");
     assert_eq!(next, view.now + REGISTRATION_GRACE);
     view.wait(LONG);
     assert_eq!(view.serving(), ["a", "b"]);
-    assert!(view.in_force.evacuated.is_empty());
-    assert_eq!(view.recent.next_change(view.now), None);
-    assert_eq!(view.recent.hash(view.now), 0);
+    assert!(view.followed.evacuated.is_empty());
+    assert_eq!(view.corrector.next_change(view.now), None);
+    assert_eq!(view.corrector.hash(view.now), 0);
 }
 
 #[test]
 fn a_node_that_starts_after_the_restore_receives_the_corrections_of_others() {
     let (mut old, mut new) = (View::new(), View::new());
-    old.take(0, &[live("a"), live("b"), live("c")], &["south"]);
-    old.take(0, &[live("a"), leaving("b"), live("d")], &["south"]);
+    old.apply_list(0, &[live("a"), live("b"), live("c")], &["south"]);
+    old.apply_list(0, &[live("a"), leaving("b"), live("d")], &["south"]);
     let copy = [live("a"), live("b"), live("c")];
-    old.take(1, &copy, &[]);
+    old.apply_list(1, &copy, &[]);
     new.now = old.now;
-    new.take(1, &copy, &[]);
+    new.apply_list(1, &copy, &[]);
     assert_eq!(new.serving(), ["a", "b", "c"], "it knows nothing but the copy");
-    assert_ne!(old.recent.hash(old.now), new.recent.hash(new.now));
+    assert_ne!(old.corrector.hash(old.now), new.corrector.hash(new.now));
     old.send_corrections(&mut new);
-    assert_eq!(old.recent.hash(old.now), new.recent.hash(new.now));
+    assert_eq!(old.corrector.hash(old.now), new.corrector.hash(new.now));
     assert_eq!(old.serving(), ["a", "d"]);
     assert_eq!(new.serving(), old.serving());
-    assert_eq!(new.in_force.evacuated, ["south"]);
+    assert_eq!(new.followed.evacuated, ["south"]);
     new.wait(REGISTRATION_GRACE);
     assert_eq!(new.serving(), ["a"]);
 }
@@ -202,18 +202,18 @@
 #[test]
 fn corrections_of_another_era_or_expired_ones_are_ignored() {
     let mut old = View::new();
-    old.take(0, &[live("a"), live("b")], &[]);
-    old.take(0, &[leaving("a")], &[]);
-    old.take(1, &[live("a"), live("b")], &[]);
+    old.apply_list(0, &[live("a"), live("b")], &[]);
+    old.apply_list(0, &[leaving("a")], &[]);
+    old.apply_list(1, &[live("a"), live("b")], &[]);
     let mut other = View::new();
     other.now = old.now;
-    other.take(2, &[live("a"), live("b")], &[]);
+    other.apply_list(2, &[live("a"), live("b")], &[]);
     old.send_corrections(&mut other);
     assert_eq!(other.serving(), ["a", "b"]);
     let mut late = View::new();
     old.now += LONG;
     late.now = old.now;
-    late.take(1, &[live("a"), live("b")], &[]);
+    late.apply_list(1, &[live("a"), live("b")], &[]);
     old.send_corrections(&mut late);
     assert_eq!(late.serving(), ["a", "b"]);
 }
@@ -221,26 +221,26 @@
 #[test]
 fn two_restores_in_a_row_lose_no_corrections() {
     let mut view = View::new();
-    view.take(0, &[live("a"), live("b"), live("c")], &[]);
-    view.take(0, &[live("a"), live("b")], &[]);
-    view.take(1, &[live("a"), live("b"), live("c")], &[]);
-    view.take(1, &[live("a"), leaving("b"), live("c")], &[]);
-    view.take(2, &[live("a"), live("b"), live("c")], &[]);
+    view.apply_list(0, &[live("a"), live("b"), live("c")], &[]);
+    view.apply_list(0, &[live("a"), live("b")], &[]);
+    view.apply_list(1, &[live("a"), live("b"), live("c")], &[]);
+    view.apply_list(1, &[live("a"), leaving("b"), live("c")], &[]);
+    view.apply_list(2, &[live("a"), live("b"), live("c")], &[]);
     assert_eq!(view.serving(), ["a"]);
 }
 
 #[test]
 fn received_corrections_survive_the_next_restore() {
     let (mut old, mut new) = (View::new(), View::new());
-    old.take(0, &[live("a"), live("b")], &["south"]);
-    old.take(0, &[live("a"), leaving("b")], &["south"]);
-    old.take(1, &[live("a"), live("b")], &[]);
+    old.apply_list(0, &[live("a"), live("b")], &["south"]);
+    old.apply_list(0, &[live("a"), leaving("b")], &["south"]);
+    old.apply_list(1, &[live("a"), live("b")], &[]);
     new.now = old.now;
-    new.take(1, &[live("a"), live("b")], &[]);
+    new.apply_list(1, &[live("a"), live("b")], &[]);
     old.send_corrections(&mut new);
-    new.take(2, &[live("a"), live("b")], &[]);
+    new.apply_list(2, &[live("a"), live("b")], &[]);
     assert_eq!(new.serving(), ["a"]);
-    assert_eq!(new.in_force.evacuated, ["south"]);
+    assert_eq!(new.followed.evacuated, ["south"]);
 }
 
 /// In random histories, no node follows a target that has departed.
@@ -288,14 +288,14 @@
             }
             let entries = stored.values().copied().collect::<Vec<_>>();
             for node in &mut nodes {
-                node.take(era, &entries, &[]);
+                node.apply_list(era, &entries, &[]);
                 node.wait(Duration::from_millis(100));
             }
             let [first, others @ ..] = &mut nodes;
             for other in others {
                 first.send_corrections(other);
-                let serving = other.in_force.targets.iter().filter(|target| {
-                    other.in_force.host(&target.host).is_some_and(|host| host.state == HostState::Live)
+                let serving = other.followed.targets.iter().filter(|target| {
+                    other.followed.host(&target.host).is_some_and(|host| host.state == HostState::Live)
                 });
                 for target in serving {
                     let is_departed = departed.contains_key(&(target.name.as_str(), target.started_unix_ms));
--- a/crates/laurelstall_peer/tests/lost_nodes.rs
+++ b/crates/laurelstall_peer/tests/lost_nodes.rs
@@ -48,7 +48,7 @@
             versions_hash: 1,
             platform_read_age_ms: 0,
             platform_reads_from_age_ms: 0,
-            platform_return_age_ms: None,
+            outage_end_age_ms: None,
             crashes_hash: 0,
             corrections_hash: 0,
             documents_age_ms: 0,
--- a/crates/laurelstall_peer/tests/dropped_hosts.rs
+++ b/crates/laurelstall_peer/tests/removed_hosts.rs
@@ -129,8 +129,8 @@
     Replicator::new(options, clock, client, platform, active_fleet.clone(), active_fleet)
 }
 
-// A node that the new list lacks is nobody's partner any more. Without an offer of that list, it went on
-// sending calls to its departed target.
+// A node that the new list lacks is nobody's partner any more, so it learns of its removal only through an
+// offer of that list.
 #[tokio::test]
 async fn a_node_whose_host_leaves_the_list_is_offered_that_list() {
     let rig = Rig::start(8, NO_EXCHANGES_MS).await;
--- a/crates/laurelstall_peer/tests/spreading.rs
+++ b/crates/laurelstall_peer/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of a node while the platform is away or other nodes are unreachable, with paused time.
+//! Replication of a node while the platform is unavailable or other nodes are unreachable, with paused time.
 
 use futures_util::future::{BoxFuture, FutureExt, join_all};
 use laurelstall_config::{
@@ -33,9 +33,9 @@
 const HOUR: Duration = Duration::from_secs(3_600);
 
 #[derive(Debug)]
-struct AllCut;
+struct AllPartitioned;
 
-impl Link for AllCut {
+impl Link for AllPartitioned {
     fn is_cut(&self, _: SocketAddr) -> bool {
         true
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Age of an outage's end up to which registrations may have expired, in ms.
+/// Maximum time since the end of an outage for which a missing registration may be due to it, in ms.
 const EXPIRY_AGE_MAX_MS: u64 = 2_000;
 
 /// Accepts every document, and counts how often registrations may have expired.
@@ -64,8 +64,8 @@
         Ok(())
     }
 
-    fn on_platform_outage_end(&self, returned_age_ms: u64) {
-        let count = usize::from(returned_age_ms < EXPIRY_AGE_MAX_MS);
+    fn on_platform_outage_end(&self, ended_age_ms: u64) {
+        let count = usize::from(ended_age_ms < EXPIRY_AGE_MAX_MS);
         self.expiries.fetch_add(count, Ordering::Relaxed);
     }
 }
@@ -83,10 +83,10 @@
     }
 }
 
-/// A simulated platform with one document, which can be away.
+/// A simulated platform with one document, which can be unavailable.
 #[derive(Debug, Default)]
 struct OneDocument {
-    is_away: AtomicBool,
+    is_unavailable: AtomicBool,
     answers_at_once: AtomicBool,
     supports_stale_reads: AtomicBool,
     stale_reads: AtomicUsize,
@@ -94,8 +94,8 @@
 
 impl OneDocument {
     fn check(&self) -> Result<(), PlatformError> {
-        match self.is_away.load(Ordering::Relaxed) {
-            true => Err(PlatformError::Unreachable("away".to_owned())),
+        match self.is_unavailable.load(Ordering::Relaxed) {
+            true => Err(PlatformError::Unreachable("unavailable".to_owned())),
             false => Ok(()),
         }
     }
@@ -148,7 +148,7 @@
 }
 
 fn node(fleet: &Arc<Fleet>, number: usize, platform: &Arc<OneDocument>) -> Arc<Replicator> {
-    node_with(fleet, number, platform, Vec::new(), Arc::new(AllCut), Arc::default())
+    node_with(fleet, number, platform, Vec::new(), Arc::new(AllPartitioned), Arc::default())
 }
 
 fn node_with(
@@ -185,7 +185,7 @@
         tokio::spawn(node.clone().run());
     }
     sleep(Duration::from_secs(60)).await;
-    platform.is_away.store(true, Ordering::Relaxed);
+    platform.is_unavailable.store(true, Ordering::Relaxed);
     let before = nodes.iter().map(|node| calls(node)).sum::<u64>();
     sleep(HOUR).await;
     let spent = nodes.iter().map(|node| calls(node)).sum::<u64>() - before;
@@ -193,7 +193,7 @@
     // Two readers that try every 10 s or so, and 16 fallback reads per minute in the whole fleet.
     assert!(spent < 3_000, "{spent} calls in an hour");
     assert!(spent > 500, "{spent} calls: too few attempts to reach the platform");
-    platform.is_away.store(false, Ordering::Relaxed);
+    platform.is_unavailable.store(false, Ordering::Relaxed);
     sleep(Duration::from_secs(120)).await;
     let is_fresh = nodes.iter().filter(|node| node.platform_read_age_ms() < 60_000).count();
     assert!(is_fresh >= 2, "the readers are back");
@@ -239,7 +239,7 @@
         versions_hash: 1,
         platform_read_age_ms: 700,
         platform_reads_from_age_ms: 0,
-        platform_return_age_ms: None,
+        outage_end_age_ms: None,
         crashes_hash: 0,
         corrections_hash: 0,
         documents_age_ms: 0,
@@ -269,7 +269,8 @@
     let (fleet, platform) = (fleet(0), Arc::new(OneDocument::default()));
     platform.answers_at_once.store(true, Ordering::Relaxed);
     let seed = ([127, 0, 0, 1], 1_000).into();
-    let node = |number| node_with(&fleet, number, &platform, vec![seed], Arc::new(AllCut), Arc::default());
+    let node =
+        |number| node_with(&fleet, number, &platform, vec![seed], Arc::new(AllPartitioned), Arc::default());
     let nodes = [node(0), node(1)];
     for node in &nodes {
         node.join().await;
@@ -304,7 +305,7 @@
     let own_seeds = (0..3).map(|n| SocketAddr::from(([127, 0, 0, 1], 1_000 + n))).collect::<Vec<_>>();
     // The unreachable seeds are nodes of the fleet, or no nodes at all.
     for seeds in [own_seeds, vec![([127, 0, 0, 1], 999).into()]] {
-        let (plain, stale, longest_ms) = start_whole_fleet(seeds, Arc::new(AllCut)).await;
+        let (plain, stale, longest_ms) = start_whole_fleet(seeds, Arc::new(AllPartitioned)).await;
         assert!(plain <= 9, "{plain} plain calls");
         assert!(stale <= 300, "{stale} stale reads");
         assert!(longest_ms <= 500, "{longest_ms} ms");
@@ -316,7 +317,7 @@
     let (fleet, platform) = (fleet(300), Arc::new(OneDocument::default()));
     platform.supports_stale_reads.store(true, Ordering::Relaxed);
     let seeds = vec![([127, 0, 0, 1], 999).into()];
-    let node = node_with(&fleet, 250, &platform, seeds, Arc::new(AllCut), Arc::default());
+    let node = node_with(&fleet, 250, &platform, seeds, Arc::new(AllPartitioned), Arc::default());
     node.join().await;
     tokio::spawn(node.clone().run());
     assert!(node.platform_read_age_ms() > 1_000_000, "a stale read does not count as a read");
@@ -332,7 +333,7 @@
     let (fleet, platform) = (fleet(2), Arc::new(OneDocument::default()));
     platform.supports_stale_reads.store(true, Ordering::Relaxed);
     let seeds = vec![([127, 0, 0, 1], 999).into()];
-    let node = node_with(&fleet, 0, &platform, seeds, Arc::new(AllCut), Arc::default());
+    let node = node_with(&fleet, 0, &platform, seeds, Arc::new(AllPartitioned), Arc::default());
     node.join().await;
     assert_eq!(node.store().versions(), [(DocumentName::System, Version::new(1))]);
     // A consistent document replaces it unless it is older.
@@ -345,29 +346,29 @@
 #[tokio::test(start_paused = true)]
 async fn the_end_of_an_outage_is_reported_once_and_short_outages_are_ignored() {
     let (fleet, platform, acceptor) = (fleet(1), Arc::new(OneDocument::default()), Arc::default());
-    let node = node_with(&fleet, 0, &platform, Vec::new(), Arc::new(AllCut), Arc::clone(&acceptor));
+    let node = node_with(&fleet, 0, &platform, Vec::new(), Arc::new(AllPartitioned), Arc::clone(&acceptor));
     let expiries = || acceptor.expiries.load(Ordering::Relaxed);
     node.join().await;
     tokio::spawn(node.clone().run());
     sleep(Duration::from_secs(45)).await;
     assert_eq!(expiries(), 0, "nothing happened");
-    platform.is_away.store(true, Ordering::Relaxed);
+    platform.is_unavailable.store(true, Ordering::Relaxed);
     sleep(Duration::from_secs(60)).await;
-    platform.is_away.store(false, Ordering::Relaxed);
+    platform.is_unavailable.store(false, Ordering::Relaxed);
     sleep(Duration::from_secs(60)).await;
     assert_eq!(expiries(), 1, "a long outage has ended");
     let status = Exchange {
         versions_hash: 1,
         platform_read_age_ms: 0,
         platform_reads_from_age_ms: 0,
-        platform_return_age_ms: Some(50_000),
+        outage_end_age_ms: Some(50_000),
         crashes_hash: 0,
         corrections_hash: 0,
         documents_age_ms: 0,
     };
     node.answer_exchange(&status);
     assert_eq!(expiries(), 1, "another node's report of the same end");
-    let status = Exchange { platform_return_age_ms: Some(10), ..status };
+    let status = Exchange { outage_end_age_ms: Some(10), ..status };
     node.answer_exchange(&status);
     assert_eq!(expiries(), 2, "another node's report of a later end");
 }
@@ -377,12 +378,12 @@
 #[tokio::test(start_paused = true)]
 async fn an_outage_reported_by_a_partitioned_node_is_ignored() {
     let (fleet, platform, acceptor) = (fleet(300), Arc::new(OneDocument::default()), Arc::default());
-    let node = node_with(&fleet, 250, &platform, Vec::new(), Arc::new(AllCut), Arc::clone(&acceptor));
+    let node = node_with(&fleet, 250, &platform, Vec::new(), Arc::new(AllPartitioned), Arc::clone(&acceptor));
     let reads = Exchange {
         versions_hash: 1,
         platform_read_age_ms: 900,
         platform_reads_from_age_ms: 900,
-        platform_return_age_ms: None,
+        outage_end_age_ms: None,
         crashes_hash: 0,
         corrections_hash: 0,
         documents_age_ms: 0,
@@ -391,7 +392,7 @@
         sleep(Duration::from_millis(500)).await;
         node.answer_exchange(&reads);
     }
-    let back = Exchange { platform_read_age_ms: 20, platform_return_age_ms: Some(20), ..reads };
+    let back = Exchange { platform_read_age_ms: 20, outage_end_age_ms: Some(20), ..reads };
     node.answer_exchange(&back);
     assert_eq!(acceptor.expiries.load(Ordering::Relaxed), 0, "this node knows of reads in that time");
 }
@@ -407,7 +408,7 @@
         versions_hash: 1,
         platform_read_age_ms: 100,
         platform_reads_from_age_ms: 5_000,
-        platform_return_age_ms: None,
+        outage_end_age_ms: None,
         crashes_hash: 0,
         corrections_hash: 0,
         documents_age_ms: 0,
--- a/crates/laurelstall_peer/tests/store.rs
+++ b/crates/laurelstall_peer/tests/store.rs
@@ -6,7 +6,7 @@
 };
 use laurelstall_peer::{
     message::{PullItem, TransferText},
-    store::{Acceptor, OfferOutcome, Store},
+    store::{Acceptor, ApplyOutcome, DocumentStore},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::sync::Mutex;
@@ -33,32 +33,32 @@
 
 #[test]
 fn an_older_version_is_never_accepted() {
-    let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
-    assert!(matches!(store.offer(document(5, "five"), &acceptor), OfferOutcome::Accepted));
-    assert!(matches!(store.offer(document(4, "four"), &acceptor), OfferOutcome::NotNewer));
-    assert!(matches!(store.offer(document(5, "five"), &acceptor), OfferOutcome::NotNewer));
-    assert!(matches!(store.offer(document(0, "none"), &acceptor), OfferOutcome::NotNewer));
+    let (mut store, acceptor) = (DocumentStore::default(), AcceptAllButBad::default());
+    assert!(matches!(store.apply(document(5, "five"), &acceptor), ApplyOutcome::Accepted));
+    assert!(matches!(store.apply(document(4, "four"), &acceptor), ApplyOutcome::NotNewer));
+    assert!(matches!(store.apply(document(5, "five"), &acceptor), ApplyOutcome::NotNewer));
+    assert!(matches!(store.apply(document(0, "none"), &acceptor), ApplyOutcome::NotNewer));
     assert_eq!(store.document(&DocumentName::System).map(|d| d.text.as_str()), Some("five"));
 }
 
 #[test]
 fn a_rejected_document_changes_nothing_and_is_not_pulled_again() {
-    let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
-    store.offer(document(1, "one"), &acceptor);
-    assert!(matches!(store.offer(document(2, "bad"), &acceptor), OfferOutcome::Rejected(_)));
+    let (mut store, acceptor) = (DocumentStore::default(), AcceptAllButBad::default());
+    store.apply(document(1, "one"), &acceptor);
+    assert!(matches!(store.apply(document(2, "bad"), &acceptor), ApplyOutcome::Rejected(_)));
     assert_eq!(store.version(&DocumentName::System), Version::new(1));
     assert!(!store.wants(&DocumentName::System, Version::new(2)));
     assert!(store.wants(&DocumentName::System, Version::new(3)));
     assert_eq!(store.refused().count(), 1);
-    store.offer(document(3, "three"), &acceptor);
+    store.apply(document(3, "three"), &acceptor);
     assert_eq!(store.refused().count(), 0);
 }
 
 #[test]
 fn the_same_version_with_another_text_is_a_conflict_and_changes_nothing() {
-    let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
-    store.offer(document(1, "one"), &acceptor);
-    assert!(matches!(store.offer(document(1, "other"), &acceptor), OfferOutcome::Conflict));
+    let (mut store, acceptor) = (DocumentStore::default(), AcceptAllButBad::default());
+    store.apply(document(1, "one"), &acceptor);
+    assert!(matches!(store.apply(document(1, "other"), &acceptor), ApplyOutcome::Conflict));
     assert_eq!(store.document(&DocumentName::System).map(|d| d.text.as_str()), Some("one"));
     assert_eq!(store.conflicts(), 1);
 }
@@ -66,19 +66,19 @@
 #[test]
 fn a_delta_rebuilds_the_text_and_a_wrong_base_is_detected() {
     let acceptor = AcceptAllButBad::default();
-    let (mut ahead, mut behind) = (Store::default(), Store::default());
+    let (mut ahead, mut behind) = (DocumentStore::default(), DocumentStore::default());
     let long = (0..200).map(|n| format!("line {n} of a document\n")).collect::<String>();
-    ahead.offer(document(1, &long), &acceptor);
-    behind.offer(document(1, &long), &acceptor);
-    ahead.offer(document(2, &long.replace("line 7 ", "line seven ")), &acceptor);
+    ahead.apply(document(1, &long), &acceptor);
+    behind.apply(document(1, &long), &acceptor);
+    ahead.apply(document(2, &long.replace("line 7 ", "line seven ")), &acceptor);
     let items = behind.pull_items_for(&ahead.versions());
     let transfer = ahead.pack(&items[0]).expect("it is newer");
     let TransferText::Delta(packed) = &transfer.text else { panic!("the base is known") };
     assert!(packed.len() * 20 < long.len(), "{} bytes", packed.len());
     assert_eq!(behind.unpack(&transfer).expect("the base fits").version, Version::new(2));
     // The checksum does not match for a node whose version 1 has another text.
-    let mut other = Store::default();
-    other.offer(document(1, &long.replace("document", "paragraph")), &acceptor);
+    let mut other = DocumentStore::default();
+    other.apply(document(1, &long.replace("document", "paragraph")), &acceptor);
     assert!(other.unpack(&transfer).is_err());
     let item = PullItem { known_checksum: 1, ..items[0].clone() };
     let whole = ahead.pack(&item).expect("it is newer");
@@ -89,12 +89,12 @@
 #[test]
 fn a_packed_text_is_cached_until_the_next_version() {
     let acceptor = AcceptAllButBad::default();
-    let (mut ahead, mut behind) = (Store::default(), Store::default());
+    let (mut ahead, mut behind) = (DocumentStore::default(), DocumentStore::default());
     let text = |version: u64| format!("{}version {version}\n", "a line that stays\n".repeat(50));
-    ahead.offer(document(1, &text(1)), &acceptor);
-    behind.offer(document(1, &text(1)), &acceptor);
+    ahead.apply(document(1, &text(1)), &acceptor);
+    behind.apply(document(1, &text(1)), &acceptor);
     for version in [2, 3] {
-        ahead.offer(document(version, &text(version)), &acceptor);
+        ahead.apply(document(version, &text(version)), &acceptor);
         let items = behind.pull_items_for(&ahead.versions());
         let first = ahead.pack(&items[0]).expect("it is newer");
         assert_eq!(ahead.pack(&items[0]), Some(first.clone()));
@@ -108,11 +108,11 @@
 #[test]
 fn a_corrupted_transfer_is_rejected() {
     let acceptor = AcceptAllButBad::default();
-    let mut store = Store::default();
-    store.offer(document(1, "some text that is long enough to be packed"), &acceptor);
+    let mut store = DocumentStore::default();
+    store.apply(document(1, "some text that is long enough to be packed"), &acceptor);
     let item = PullItem { name: DocumentName::System, known_version: Version::NONE, known_checksum: 0 };
     let whole = store.pack(&item).expect("it is newer");
-    let empty = Store::default();
+    let empty = DocumentStore::default();
     bolero::check!().with_type::<(usize, u8, u32)>().with_iterations(3_000).for_each(|(at, byte, bytes)| {
         let mut changed = whole.clone();
         changed.text_bytes = *bytes;
@@ -130,13 +130,13 @@
 fn offers_in_any_order_end_with_the_newest_and_never_decrease() {
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (mut store, acceptor) = (Store::default(), AcceptAllButBad::default());
+        let (mut store, acceptor) = (DocumentStore::default(), AcceptAllButBad::default());
         let mut newest = 0;
         for _ in 0..500 {
             let version = rng.random_range(0..100);
             let text = if rng.random_bool(0.2) { "bad".to_owned() } else { format!("text {version}") };
             let is_good = text != "bad";
-            store.offer(document(version, &text), &acceptor);
+            store.apply(document(version, &text), &acceptor);
             if is_good {
                 newest = newest.max(version);
             }
