--- a/crates/laurelstall_peer/tests/lost_nodes.rs
+++ b/crates/laurelstall_peer/tests/lost_nodes.rs
@@ -7,7 +7,7 @@
 
 use laurelstall_config::{
     document::{DocumentName, Version},
-    system::ReplicationSettings,
+    system::SpreadLimits,
 };
 use laurelstall_peer::{message::Exchange, partners::preceding_hosts};
 use rand::{SeedableRng, rngs::SmallRng, seq::SliceRandom};
@@ -48,7 +48,7 @@
             versions_hash: 1,
             platform_read_age_ms: 0,
             platform_reads_from_age_ms: 0,
-            platform_return_age_ms: None,
+            outage_end_age_ms: None,
             crashes_hash: 0,
             corrections_hash: 0,
             documents_age_ms: 0,
@@ -86,7 +86,7 @@
     let mesh = Mesh::start(18, seed).await;
     mesh.platform.publish(1);
     sleep(Duration::from_secs(10)).await;
-    let count = ReplicationSettings::default().readers_per_data_centre;
+    let count = SpreadLimits::default().readers_per_data_centre;
     for host in &mesh.fleet.hosts {
         let ahead = preceding_hosts(&mesh.fleet, &host.name, &host.data_centre).len();
         match loss {
--- a/crates/laurelstall_peer/tests/support/mesh.rs
+++ b/crates/laurelstall_peer/tests/support/mesh.rs
@@ -7,7 +7,7 @@
     document::{Document, DocumentName, Version},
     fleet::{Fleet, Host, HostState},
     problem::ConfigError,
-    system::ReplicationSettings,
+    system::SpreadLimits,
 };
 use laurelstall_guard::clock::Clock;
 use laurelstall_peer::{
@@ -96,8 +96,8 @@
         self.0.clone()
     }
 
-    fn replication_settings(&self) -> ReplicationSettings {
-        ReplicationSettings::default()
+    fn spread_limits(&self) -> SpreadLimits {
+        SpreadLimits::default()
     }
 }
 
