--- a/crates/laurelstall_node/src/admin.rs
+++ b/crates/laurelstall_node/src/admin.rs
@@ -26,7 +26,7 @@
     settings::{Role, TokenSettings},
 };
 use laurelstall_crash::crash_table::{RequestStatus, SuspectState};
-use laurelstall_peer::{body::AnswerBody, replicator::Replicator};
+use laurelstall_peer::{body::BoxedBody, replicator::Replicator};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json as value};
 use std::{
@@ -188,16 +188,16 @@
     }
 }
 
-type Answer = Response<AnswerBody>;
+type Answer = Response<BoxedBody>;
 
 impl Responder for Admin {
-    fn respond(&self, request: Request<AnswerBody>) -> BoxFuture<'_, Answer> {
+    fn respond(&self, request: Request<BoxedBody>) -> BoxFuture<'_, Answer> {
         Box::pin(self.answer(request))
     }
 }
 
 impl Admin {
-    async fn answer(&self, request: Request<AnswerBody>) -> Answer {
+    async fn answer(&self, request: Request<BoxedBody>) -> Answer {
         let (parts, body) = request.into_parts();
         let path = parts.uri.path().to_owned();
         match (&parts.method, path.as_str()) {
@@ -327,8 +327,8 @@
         let partners = self.replicator.partner_states().into_iter().map(|(address, state)| {
             value!({
                 "address": address.to_string(),
-                "is_reached": state.is_reached,
-                "is_in_step": state.is_in_step,
+                "is_reached": state.has_answered,
+                "is_in_step": state.has_same_versions,
                 "age_ms": now_us.saturating_sub(state.at_us) / 1_000,
             })
         });
@@ -348,11 +348,11 @@
         // Called before `store` is locked, because it locks the store itself.
         let platform_era = self.replicator.platform_era();
         let store = self.replicator.store();
-        let refused = store.refused().map(|(name, version)| (name.to_string(), version.to_string().into()));
+        let rejected = store.rejected().map(|(name, version)| (name.to_string(), version.to_string().into()));
         let conflicts = snapshot.configuration.caller_host_conflicts();
         value!({
             "versions": serde_json::Map::from_iter(versions),
-            "refused": serde_json::Map::from_iter(refused),
+            "refused": serde_json::Map::from_iter(rejected),
             "version_conflicts": store.conflicts(),
             "caller_host_conflicts": conflicts,
             "is_reader": self.replicator.is_reader(),
@@ -406,7 +406,7 @@
     }
 
     /// Releases a quarantined request at all nodes.
-    async fn release(&self, client: &Client, body: AnswerBody) -> Answer {
+    async fn release(&self, client: &Client, body: BoxedBody) -> Answer {
         let request = match read_json::<ReleaseRequest>(body).await {
             Ok(request) => request,
             Err(answer) => return answer,
@@ -437,7 +437,7 @@
     }
 }
 
-async fn change_level(client: &Client, body: AnswerBody) -> Answer {
+async fn change_level(client: &Client, body: BoxedBody) -> Answer {
     if client.role < Role::Operate {
         return problem(StatusCode::FORBIDDEN, "this needs the role 'operate'");
     }
@@ -448,7 +448,7 @@
     }
 }
 
-async fn check(body: AnswerBody) -> Answer {
+async fn check(body: BoxedBody) -> Answer {
     let request = match read_json::<CheckRequest>(body).await {
         Ok(request) => request,
         Err(answer) => return answer,
@@ -464,7 +464,7 @@
     json(StatusCode::OK, &value!({ "is_right": problems.is_empty(), "problems": problems }))
 }
 
-async fn read_json<T: for<'de> Deserialize<'de>>(body: AnswerBody) -> Result<T, Answer> {
+async fn read_json<T: for<'de> Deserialize<'de>>(body: BoxedBody) -> Result<T, Answer> {
     match collect(body, BODY_BYTES_MAX, BODY_TIMEOUT).await {
         Ok(Collected::Complete(bytes)) => serde_json::from_slice(&bytes)
             .map_err(|error| problem(StatusCode::BAD_REQUEST, &error.to_string())),
--- a/crates/laurelstall_node/src/body.rs
+++ b/crates/laurelstall_node/src/body.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::{BodyExt, Empty, Full};
-use laurelstall_peer::body::{AnswerBody, BodyError};
+use laurelstall_peer::body::{BodyError, BoxedBody};
 use std::{
     future::Future,
     pin::Pin,
@@ -12,12 +12,12 @@
 use tokio::time::{Duration, Instant, Sleep, sleep, timeout_at};
 
 /// Creates a body from bytes that are complete.
-pub fn full_body(bytes: Bytes) -> AnswerBody {
+pub fn full_body(bytes: Bytes) -> BoxedBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// Creates a body without content.
-pub fn empty_body() -> AnswerBody {
+pub fn empty_body() -> BoxedBody {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
@@ -27,7 +27,7 @@
     /// The complete body.
     Complete(Bytes),
     /// The body is longer or slower than the limits, or has trailers. It starts with the frames read so far.
-    Partial(AnswerBody),
+    Partial(BoxedBody),
 }
 
 /// Reads a body to its end, but stops after `bytes_max` bytes or `time_limit`.
@@ -36,7 +36,7 @@
 ///
 /// Returns the error that ended the body early.
 pub async fn collect(
-    mut body: AnswerBody,
+    mut body: BoxedBody,
     bytes_max: usize,
     time_limit: Duration,
 ) -> Result<Collected, BodyError> {
@@ -72,11 +72,11 @@
 /// A body that yields frames that were read before, and then the rest.
 struct PrefixedBody {
     prefix: Vec<Frame<Bytes>>,
-    rest: AnswerBody,
+    rest: BoxedBody,
 }
 
 impl PrefixedBody {
-    fn new(mut prefix: Vec<Frame<Bytes>>, rest: AnswerBody) -> Self {
+    fn new(mut prefix: Vec<Frame<Bytes>>, rest: BoxedBody) -> Self {
         prefix.reverse();
         Self { prefix, rest }
     }
@@ -103,13 +103,13 @@
 
 /// A body that calls a closure when it ends, with whether it was complete. What the closure owns lives until then.
 pub struct WatchedBody<F: FnOnce(bool)> {
-    inner: AnswerBody,
+    inner: BoxedBody,
     on_end: Option<F>,
 }
 
 impl<F: FnOnce(bool)> WatchedBody<F> {
     /// Calls `on_end` once at the end of `inner` or on drop, with whether the body was complete.
-    pub fn new(inner: AnswerBody, on_end: F) -> Self {
+    pub fn new(inner: BoxedBody, on_end: F) -> Self {
         Self { inner, on_end: Some(on_end) }
     }
 
@@ -155,7 +155,7 @@
 }
 
 /// Wraps a body so that it fails when no frame arrives for `limit`.
-pub fn with_idle_timeout(body: AnswerBody, limit: Duration) -> AnswerBody {
+pub fn with_idle_timeout(body: BoxedBody, limit: Duration) -> BoxedBody {
     if body.is_end_stream() {
         return body;
     }
@@ -163,7 +163,7 @@
 }
 
 struct IdleBody {
-    inner: AnswerBody,
+    inner: BoxedBody,
     limit: Duration,
     idle_timer: Option<Pin<Box<Sleep>>>,
 }
--- a/crates/laurelstall_node/src/call.rs
+++ b/crates/laurelstall_node/src/call.rs
@@ -19,7 +19,7 @@
 };
 use laurelstall_peer::{
     attempt::{AttemptBody, AttemptHandler},
-    body::AnswerBody,
+    body::BoxedBody,
     client::PeerClient,
     crash_registry::CrashRegistry,
 };
@@ -62,7 +62,7 @@
 struct FallbackAnswer {
     status: StatusCode,
     headers: HeaderMap,
-    body: AnswerBody,
+    body: BoxedBody,
 }
 
 /// The target chosen for an attempt, with the details that the decision log records.
--- a/crates/laurelstall_node/src/call/retries.rs
+++ b/crates/laurelstall_node/src/call/retries.rs
@@ -5,7 +5,7 @@
 use laurelstall_guard::refusal::{NextStep, Refusal, RefusalReason, TargetSignal};
 use laurelstall_peer::{
     attempt::{AttemptAnswer, AttemptBody, AttemptOutcome, UnknownCause},
-    body::AnswerBody,
+    body::BoxedBody,
 };
 
 /// Maximum number of guards without capacity that a nested call tries.
@@ -43,8 +43,8 @@
             }
             AttemptOutcome::Unknown(cause) => {
                 self.has_unknown_attempt = true;
-                let is_suspect =
-                    cause == UnknownCause::TargetEnded && self.merge_and_check_suspect(answer.ended.take());
+                let is_suspect = cause == UnknownCause::TargetCrashed
+                    && self.merge_and_check_suspect(answer.crash_report.take());
                 if !is_suspect && self.try_retry(None) {
                     self.excluded.push(destination.choice.index);
                     return NextAction::Retry;
@@ -54,7 +54,7 @@
         }
     }
 
-    fn restore_body(&mut self, unread: Option<AnswerBody>) {
+    fn restore_body(&mut self, unread: Option<BoxedBody>) {
         if self.body.is_none() {
             self.body = unread.map(AttemptBody::Stream);
         }
--- a/crates/laurelstall_node/src/call_request.rs
+++ b/crates/laurelstall_node/src/call_request.rs
@@ -5,7 +5,7 @@
 use laurelstall_config::workspace::Workspace;
 use laurelstall_crash::request_digest::RequestDigest;
 use laurelstall_guard::{refusal::Refusal, ticket::Ticket};
-use laurelstall_peer::{attempt::AttemptBody, body::AnswerBody};
+use laurelstall_peer::{attempt::AttemptBody, body::BoxedBody};
 use laurelstall_policy::plan::Route;
 use std::sync::Arc;
 
@@ -62,7 +62,7 @@
         /// End-to-end headers.
         headers: HeaderMap,
         /// Response body.
-        body: AnswerBody,
+        body: BoxedBody,
     },
     /// The call certainly ran on no target.
     NotRun(Refusal),
--- a/crates/laurelstall_node/src/entry.rs
+++ b/crates/laurelstall_node/src/entry.rs
@@ -25,7 +25,7 @@
     ticket::Ticket,
 };
 use laurelstall_peer::{
-    body::AnswerBody,
+    body::BoxedBody,
     message::{PeerAnswer, PeerRequest, TicketsRequest},
 };
 use laurelstall_policy::{
@@ -102,7 +102,7 @@
 }
 
 impl LoggedRequest {
-    fn new(request: &Request<AnswerBody>) -> Self {
+    fn new(request: &Request<BoxedBody>) -> Self {
         Self {
             method: request.method().clone(),
             host: host_of(request.uri(), request.headers()).unwrap_or_default(),
@@ -114,7 +114,7 @@
 /// The reply to a caller.
 enum Reply {
     /// A target's answer, or the node's own to a request for tickets.
-    Answered(Response<AnswerBody>),
+    Answered(Response<BoxedBody>),
     /// A call that no target answered.
     Failed(FailedCall),
 }
@@ -142,7 +142,7 @@
 
 impl Entry {
     /// Answers one request of a caller.
-    pub async fn handle(&self, request: Request<AnswerBody>) -> Response<AnswerBody> {
+    pub async fn handle(&self, request: Request<BoxedBody>) -> Response<BoxedBody> {
         let id = rand::random::<u64>();
         count(&self.context.counters.calls);
         let is_http1 = request.version() < http::Version::HTTP_2;
@@ -203,7 +203,7 @@
     }
 
     /// Builds the response of a reply, with the header fields that callers expect.
-    fn build_response(&self, reply: Reply, id: u64, request_id: Option<&str>) -> Response<AnswerBody> {
+    fn build_response(&self, reply: Reply, id: u64, request_id: Option<&str>) -> Response<BoxedBody> {
         let dialect = &self.context.dialect;
         match reply {
             Reply::Answered(mut response) => {
@@ -226,7 +226,7 @@
         }
     }
 
-    async fn serve(&self, id: u64, request: Request<AnswerBody>) -> Result<Reply, Rejection> {
+    async fn serve(&self, id: u64, request: Request<BoxedBody>) -> Result<Reply, Rejection> {
         let (parts, body) = request.into_parts();
         let snapshot = self.active.load();
         let depth = self.validate_head(&parts)?;
@@ -497,7 +497,7 @@
 }
 
 /// Builds a JSON response.
-pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<AnswerBody> {
+pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<BoxedBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full_body(Bytes::from(text)));
     *response.status_mut() = status;
--- a/crates/laurelstall_node/src/entry/request_reader.rs
+++ b/crates/laurelstall_node/src/entry/request_reader.rs
@@ -12,7 +12,7 @@
 use http_body_util::BodyExt;
 use laurelstall_crash::request_digest::{RequestDigest, RequestHead};
 use laurelstall_guard::admission_request::call_importance;
-use laurelstall_peer::{attempt::AttemptBody, body::AnswerBody, client::headers_to_wire};
+use laurelstall_peer::{attempt::AttemptBody, body::BoxedBody, client::headers_to_wire};
 use laurelstall_policy::plan::Route;
 use std::sync::PoisonError;
 use tokio::time::Duration;
@@ -61,7 +61,7 @@
         &self,
         id: u64,
         mut parts: Parts,
-        body: AnswerBody,
+        body: BoxedBody,
         accepted: AcceptedHead,
     ) -> Result<CallRequest, Rejection> {
         let AcceptedHead { route, depth, service, caller } = accepted;
@@ -166,7 +166,7 @@
     async fn read_body(
         &self,
         parts: &Parts,
-        body: AnswerBody,
+        body: BoxedBody,
         wait: BodyWait,
     ) -> Result<AttemptBody, Rejection> {
         let length = read_number(&parts.headers, &http::header::CONTENT_LENGTH).map_err(bad_number)?;
--- a/crates/laurelstall_node/src/listener.rs
+++ b/crates/laurelstall_node/src/listener.rs
@@ -17,7 +17,7 @@
     server::conn::auto::Builder,
 };
 use laurelstall_config::settings::CallerLimits;
-use laurelstall_peer::body::AnswerBody;
+use laurelstall_peer::body::BoxedBody;
 use std::{convert::Infallible, fmt, sync::Arc};
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -34,7 +34,7 @@
 /// Answers HTTP requests.
 pub trait Responder: Send + Sync + fmt::Debug {
     /// Answers a request.
-    fn respond(&self, request: Request<AnswerBody>) -> BoxFuture<'_, Response<AnswerBody>>;
+    fn respond(&self, request: Request<BoxedBody>) -> BoxFuture<'_, Response<BoxedBody>>;
 
     /// Returns whether a pipelined request may run before earlier requests of its connection are answered. It must be safe to
     /// repeat: when an earlier answer closes the connection, the caller sends it again.
@@ -48,7 +48,7 @@
         self.may_repeat(head)
     }
 
-    fn respond(&self, request: Request<AnswerBody>) -> BoxFuture<'_, Response<AnswerBody>> {
+    fn respond(&self, request: Request<BoxedBody>) -> BoxFuture<'_, Response<BoxedBody>> {
         Box::pin(self.handle(request))
     }
 }
--- a/crates/laurelstall_node/src/load_query.rs
+++ b/crates/laurelstall_node/src/load_query.rs
@@ -14,7 +14,7 @@
 use laurelstall_config::settings::TargetSettings;
 use laurelstall_peer::{
     attempt::AttemptBody,
-    body::{AnswerBody, BodyError},
+    body::{BodyError, BoxedBody},
 };
 use tokio::time::{Duration, timeout};
 
@@ -75,7 +75,7 @@
         Ok(LoadReport { is_answered: true, instance, load, cold_ms: self.dialect.cold_ms(&parts.headers) })
     }
 
-    fn request(self, path: &str) -> Option<Request<AnswerBody>> {
+    fn request(self, path: &str) -> Option<Request<BoxedBody>> {
         let mut headers = HeaderMap::new();
         headers.insert(HOST, self.settings.address.to_string().parse().ok()?);
         let empty_body = AttemptBody::Whole(Bytes::new());
--- a/crates/laurelstall_node/src/platform_http.rs
+++ b/crates/laurelstall_node/src/platform_http.rs
@@ -126,7 +126,7 @@
 }
 
 fn platform_error(error: impl Display) -> PlatformError {
-    PlatformError::Unreachable(error.to_string())
+    PlatformError::ReadFailed(error.to_string())
 }
 
 impl PlatformSource for HttpPlatform {
--- a/crates/laurelstall_node/src/target_guard.rs
+++ b/crates/laurelstall_node/src/target_guard.rs
@@ -465,9 +465,10 @@
 }
 
 /// Builds the answer for a broken connection, with the crash report on the request if the target has crashed.
-fn connection_lost(reason: &'static str, ended: Option<CrashReport>) -> AttemptAnswer {
-    let cause = if ended.is_some() { UnknownCause::TargetEnded } else { UnknownCause::AnswerLost(reason) };
-    AttemptAnswer { ended, ..AttemptAnswer::new(AttemptOutcome::Unknown(cause)) }
+fn connection_lost(reason: &'static str, crash_report: Option<CrashReport>) -> AttemptAnswer {
+    let cause =
+        if crash_report.is_some() { UnknownCause::TargetCrashed } else { UnknownCause::AnswerLost(reason) };
+    AttemptAnswer { crash_report, ..AttemptAnswer::new(AttemptOutcome::Unknown(cause)) }
 }
 
 /// Builds the answer of an attempt that may have run.
--- a/crates/laurelstall_node/src/target_guard/crash_detection.rs
+++ b/crates/laurelstall_node/src/target_guard/crash_detection.rs
@@ -90,7 +90,7 @@
         inner.run_tracker().note_broken(id, broken_us);
         let has_ended = inner.has_ended(target, broken_us, was_stop_planned).await;
         // A planned stop leaves no crash report.
-        has_ended.then(|| inner.crashes.reports_of(self.digest)).flatten()
+        has_ended.then(|| inner.crashes.report_on(self.digest)).flatten()
     }
 }
 
--- a/crates/laurelstall_node/src/target_guard/forwarding.rs
+++ b/crates/laurelstall_node/src/target_guard/forwarding.rs
@@ -15,7 +15,7 @@
 use laurelstall_guard::{guard::Permit, refusal::RefusalReason};
 use laurelstall_peer::{
     attempt::{AttemptAnswer, AttemptBody},
-    body::AnswerBody,
+    body::BoxedBody,
     client::headers_from_wire,
     message::BodyKind,
 };
@@ -29,7 +29,7 @@
 
 /// A request ready for the target, with the resources held for it.
 struct PreparedRequest {
-    request: Request<AnswerBody>,
+    request: Request<BoxedBody>,
     headers: HeaderMap,
     /// Name of the target that the request is sent to.
     target: String,
@@ -185,7 +185,7 @@
 }
 
 /// Receives the body that the entry sends after admission; `None` when the entry or the connection to it is gone.
-async fn receive_body(body: AnswerBody) -> Option<Bytes> {
+async fn receive_body(body: BoxedBody) -> Option<Bytes> {
     match collect(body, ADMITTED_BODY_BYTES_MAX, ADMITTED_BODY_TIMEOUT).await {
         Ok(Collected::Complete(bytes)) => Some(bytes),
         Ok(Collected::Partial(_)) | Err(_) => None,
--- a/crates/laurelstall_node/src/target_guard/responses.rs
+++ b/crates/laurelstall_node/src/target_guard/responses.rs
@@ -13,7 +13,7 @@
 use laurelstall_guard::{guard::Permit, refusal::RefusalReason};
 use laurelstall_peer::{
     attempt::{AttemptAnswer, AttemptOutcome},
-    body::{AnswerBody, BodyError},
+    body::{BodyError, BoxedBody},
 };
 use std::sync::Arc;
 use tokio::time::Duration;
@@ -91,11 +91,11 @@
     /// Wraps a streamed body so that slot and connection are released when it ends.
     fn watched_body(
         &self,
-        body: AnswerBody,
+        body: BoxedBody,
         permit: Permit,
         watched_run: WatchedRun,
         connection: Option<UsedConnection>,
-    ) -> AnswerBody {
+    ) -> BoxedBody {
         let counters = self.counters.clone();
         let body = WatchedBody::new(body, move |is_whole| {
             if is_whole {
--- a/crates/laurelstall_node/src/target_http.rs
+++ b/crates/laurelstall_node/src/target_http.rs
@@ -11,7 +11,7 @@
     rt::{TokioExecutor, TokioTimer},
 };
 use laurelstall_config::settings::{TargetHttp, TargetSettings};
-use laurelstall_peer::{attempt::AttemptBody, body::AnswerBody};
+use laurelstall_peer::{attempt::AttemptBody, body::BoxedBody};
 use std::sync::Arc;
 use tokio::time::Duration;
 
@@ -35,7 +35,7 @@
     /// HTTP/1.1.
     Http1(Arc<TargetPool>),
     /// HTTP/2 without TLS (h2c).
-    Http2(Box<Client<HttpConnector, AnswerBody>>),
+    Http2(Box<Client<HttpConnector, BoxedBody>>),
 }
 
 impl TargetClient {
@@ -64,7 +64,7 @@
     /// Returns a [`TargetError`]; only [`TargetError::NoConnection`] proves that nothing ran.
     pub async fn send(
         &self,
-        request: Request<AnswerBody>,
+        request: Request<BoxedBody>,
         may_repeat: bool,
     ) -> Result<(Response<Incoming>, Option<UsedConnection>), TargetError> {
         match self {
@@ -82,7 +82,7 @@
     }
 }
 
-fn http2_client(connect_timeout: Duration) -> Client<HttpConnector, AnswerBody> {
+fn http2_client(connect_timeout: Duration) -> Client<HttpConnector, BoxedBody> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(connect_timeout));
@@ -102,7 +102,7 @@
     path: &str,
     headers: HeaderMap,
     body: AttemptBody,
-) -> Option<Request<AnswerBody>> {
+) -> Option<Request<BoxedBody>> {
     let method = Method::from_bytes(method.as_bytes()).ok()?;
     let uri: Uri = match settings.http {
         TargetHttp::Http1 => path.parse().ok()?,
--- a/crates/laurelstall_node/src/target_pool.rs
+++ b/crates/laurelstall_node/src/target_pool.rs
@@ -10,7 +10,7 @@
 };
 use hyper_util::rt::TokioIo;
 use laurelstall_guard::suspension::suspended_us;
-use laurelstall_peer::body::AnswerBody;
+use laurelstall_peer::body::BoxedBody;
 use quick_error::quick_error;
 use std::{
     io,
@@ -48,7 +48,7 @@
 
 #[derive(Debug)]
 struct IdleConnection {
-    sender: SendRequest<AnswerBody>,
+    sender: SendRequest<BoxedBody>,
     since: Instant,
     /// Total time in µs that the machine had been suspended by then; a later suspension makes the connection unusable.
     suspended_us: u64,
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct UsedConnection {
     pool: Arc<TargetPool>,
-    sender: SendRequest<AnswerBody>,
+    sender: SendRequest<BoxedBody>,
 }
 
 impl UsedConnection {
@@ -96,7 +96,7 @@
     /// Returns [`PoolError::Connect`] if no connection could be opened, [`PoolError::Broken`] if the connection broke.
     pub async fn send(
         self: &Arc<Self>,
-        mut request: Request<AnswerBody>,
+        mut request: Request<BoxedBody>,
         may_repeat: bool,
     ) -> Result<(Response<Incoming>, UsedConnection), PoolError> {
         let idle_time_max = if may_repeat { IDLE_TIME_MAX } else { IDLE_TIME_UNREPEATABLE_MAX };
@@ -120,11 +120,11 @@
         self.lock().clear();
     }
 
-    fn used(self: &Arc<Self>, sender: SendRequest<AnswerBody>) -> UsedConnection {
+    fn used(self: &Arc<Self>, sender: SendRequest<BoxedBody>) -> UsedConnection {
         UsedConnection { pool: self.clone(), sender }
     }
 
-    fn take_idle(&self, idle_time_max: Duration) -> Option<SendRequest<AnswerBody>> {
+    fn take_idle(&self, idle_time_max: Duration) -> Option<SendRequest<BoxedBody>> {
         let mut idle = self.lock();
         let now = Instant::now();
         let suspended_us = suspended_us();
@@ -137,7 +137,7 @@
         Some(idle.remove(index).sender)
     }
 
-    async fn connect(&self) -> Result<SendRequest<AnswerBody>, PoolError> {
+    async fn connect(&self) -> Result<SendRequest<BoxedBody>, PoolError> {
         let opened = timeout(self.connect_timeout, TcpStream::connect(self.address)).await;
         let opened = opened.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         let stream = opened.map_err(PoolError::Connect)?;
--- a/crates/laurelstall_node/src/ticket_runs.rs
+++ b/crates/laurelstall_node/src/ticket_runs.rs
@@ -12,7 +12,7 @@
 };
 use laurelstall_peer::{
     attempt::{AttemptAnswer, AttemptOutcome, UnknownCause},
-    body::AnswerBody,
+    body::BoxedBody,
 };
 use std::sync::Arc;
 use tokio::{
@@ -65,7 +65,7 @@
 
     /// Records the outcome of a ticket's run in the ledger.
     async fn end_ticket(&self, answer: AttemptAnswer, token: RunToken, kept_bytes: usize) -> AttemptAnswer {
-        let AttemptAnswer { outcome, hint, ended, unread } = answer;
+        let AttemptAnswer { outcome, hint, crash_report, unread } = answer;
         let outcome = match outcome {
             AttemptOutcome::NotRun(refusal) => {
                 self.ledger().end_not_run(token);
@@ -79,7 +79,7 @@
                 self.keep_answer(status, headers, body, token, kept_bytes).await
             }
         };
-        AttemptAnswer { outcome, hint, ended, unread }
+        AttemptAnswer { outcome, hint, crash_report, unread }
     }
 
     /// Stores the answer in the ledger, unless its body exceeds `kept_bytes`.
@@ -87,7 +87,7 @@
         &self,
         status: StatusCode,
         headers: HeaderMap,
-        body: AnswerBody,
+        body: BoxedBody,
         token: RunToken,
         kept_bytes: usize,
     ) -> AttemptOutcome {
--- a/crates/laurelstall_peer/src/attempt.rs
+++ b/crates/laurelstall_peer/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at a call, independent of whether entry and guard are on the same node.
 
-use crate::{body::AnswerBody, message::AttemptHead};
+use crate::{body::BoxedBody, message::AttemptHead};
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use http::{HeaderMap, StatusCode};
@@ -16,7 +16,7 @@
     /// The whole body, which can be sent again.
     Whole(Bytes),
     /// A stream that is read only after admission.
-    Stream(AnswerBody),
+    Stream(BoxedBody),
 }
 
 /// Notifies the entry that the guard has admitted the call, so that it sends the body.
@@ -53,7 +53,7 @@
     /// The answer was lost; contains the text for the caller.
     AnswerLost(&'static str),
     /// The target crashed while running the call.
-    TargetEnded,
+    TargetCrashed,
 }
 
 impl UnknownCause {
@@ -61,7 +61,7 @@
     pub fn text(self) -> &'static str {
         match self {
             Self::AnswerLost(text) => text,
-            Self::TargetEnded => "the target ended",
+            Self::TargetCrashed => "the target ended",
         }
     }
 
@@ -69,7 +69,7 @@
     pub fn label(self) -> &'static str {
         match self {
             Self::AnswerLost(_) => "unknown",
-            Self::TargetEnded => "target-ended",
+            Self::TargetCrashed => "target-ended",
         }
     }
 }
@@ -84,7 +84,7 @@
         /// End-to-end headers.
         headers: HeaderMap,
         /// Body of the answer, which may still fail.
-        body: AnswerBody,
+        body: BoxedBody,
     },
     /// Proof that no target received a byte of the call, or that the target reported not having run it.
     NotRun(Refusal),
@@ -100,15 +100,15 @@
     /// Load hint on the target, if the budget for observation allowed one.
     pub hint: Option<Hint>,
     /// Crash report on the request; `None` unless the target crashed while running it.
-    pub ended: Option<CrashReport>,
+    pub crash_report: Option<CrashReport>,
     /// Unread body of a request that did not run.
-    pub unread: Option<AnswerBody>,
+    pub unread: Option<BoxedBody>,
 }
 
 impl AttemptAnswer {
     /// Creates an answer without a hint.
     pub fn new(outcome: AttemptOutcome) -> Self {
-        Self { outcome, hint: None, ended: None, unread: None }
+        Self { outcome, hint: None, crash_report: None, unread: None }
     }
 }
 
--- a/crates/laurelstall_peer/src/body.rs
+++ b/crates/laurelstall_peer/src/body.rs
@@ -15,7 +15,7 @@
 pub type BodyError = Box<dyn Error + Send + Sync>;
 
 /// Body of a request or an answer from any source.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
+pub type BoxedBody = UnsyncBoxBody<Bytes, BodyError>;
 
 /// A body that arrives on an `h2` stream, preceded by data that was read already.
 ///
@@ -77,7 +77,7 @@
 /// # Errors
 ///
 /// The error of the body or the stream.
-pub async fn send_body(mut body: AnswerBody, stream: &mut SendStream<Bytes>) -> Result<(), BodyError> {
+pub async fn send_body(mut body: BoxedBody, stream: &mut SendStream<Bytes>) -> Result<(), BodyError> {
     while let Some(frame) = body.frame().await {
         let frame = frame.inspect_err(|_| stream.send_reset(Reason::INTERNAL_ERROR))?;
         match frame.into_data() {
--- a/crates/laurelstall_peer/src/client.rs
+++ b/crates/laurelstall_peer/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     attempt::{Attempt, AttemptAnswer, AttemptBody, AttemptOutcome, UnknownCause},
-    body::{AnswerBody, BodyError, StreamBody, send_body, send_data},
+    body::{BodyError, BoxedBody, StreamBody, send_body, send_data},
     frame::{DOCUMENTS_BYTES_MAX, FrameError, FrameReader, HEAD_BYTES_MAX, encode},
     message::{AttemptHead, BodyKind, PeerAnswer, PeerRequest},
     meter::InFlight,
@@ -268,7 +268,7 @@
     body: AttemptBody,
     kind: BodyKind,
     stream: &mut SendStream<Bytes>,
-) -> Result<Option<AnswerBody>, AttemptAnswer> {
+) -> Result<Option<BoxedBody>, AttemptAnswer> {
     let lost =
         |_: BodyError| AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost("stream broke")));
     match body {
@@ -291,7 +291,7 @@
 }
 
 /// Result of a failed stream. Only `REFUSED_STREAM` proves that the call has not run.
-fn stream_failure(error: &h2::Error, unread: Option<AnswerBody>) -> AttemptAnswer {
+fn stream_failure(error: &h2::Error, unread: Option<BoxedBody>) -> AttemptAnswer {
     let is_refused = error.is_remote() && error.reason() == Some(Reason::REFUSED_STREAM);
     if !is_refused {
         return AttemptAnswer::new(AttemptOutcome::Unknown(UnknownCause::AnswerLost("stream broke")));
@@ -305,8 +305,8 @@
 /// Waits for admission; returns the body together with any other answer.
 async fn read_admission(
     reader: &mut FrameReader,
-    body: AnswerBody,
-) -> Result<AnswerBody, (Result<PeerAnswer, FrameError>, AnswerBody)> {
+    body: BoxedBody,
+) -> Result<BoxedBody, (Result<PeerAnswer, FrameError>, BoxedBody)> {
     match reader.read(HEAD_BYTES_MAX).await {
         Ok(PeerAnswer::Admitted) => Ok(body),
         other => Err((other, body)),
@@ -339,16 +339,16 @@
         }
         PeerAnswer::Refused(refusal) => (AttemptOutcome::NotRun(refusal), None),
         PeerAnswer::Unknown { ended: Some(report), hint, .. } => {
-            let outcome = AttemptOutcome::Unknown(UnknownCause::TargetEnded);
+            let outcome = AttemptOutcome::Unknown(UnknownCause::TargetCrashed);
             let hint = hint.map(Hint::from);
-            return AttemptAnswer { outcome, hint, ended: Some(report), unread: None };
+            return AttemptAnswer { outcome, hint, crash_report: Some(report), unread: None };
         }
         PeerAnswer::Unknown { hint, .. } => {
             (AttemptOutcome::Unknown(UnknownCause::AnswerLost("lost at the target")), hint)
         }
         _ => (AttemptOutcome::Unknown(UnknownCause::AnswerLost("unexpected answer")), None),
     };
-    AttemptAnswer { outcome, hint: hint.map(Hint::from), ended: None, unread: None }
+    AttemptAnswer { outcome, hint: hint.map(Hint::from), crash_report: None, unread: None }
 }
 
 fn read_http(
@@ -386,7 +386,7 @@
 struct SendingTask(JoinHandle<()>);
 
 impl SendingTask {
-    fn start(body: AnswerBody, mut stream: SendStream<Bytes>) -> Self {
+    fn start(body: BoxedBody, mut stream: SendStream<Bytes>) -> Self {
         Self(tokio::spawn(async move {
             if let Err(error) = send_body(body, &mut stream).await {
                 log::debug!("sending a request body failed: {error}");
--- a/crates/laurelstall_peer/src/crash_registry.rs
+++ b/crates/laurelstall_peer/src/crash_registry.rs
@@ -3,7 +3,7 @@
 
 use laurelstall_crash::{
     crash_record::{CrashReport, TargetCrash},
-    crash_table::{CrashTable, QuarantineStatus, SuspectState},
+    crash_table::{CrashTable, RequestStatus, SuspectState},
     request_digest::RequestDigest,
 };
 use laurelstall_guard::clock::Clock;
@@ -42,8 +42,8 @@
     }
 
     /// Returns the quarantine status of a request.
-    pub fn quarantine_status(&self, digest: RequestDigest) -> QuarantineStatus {
-        self.table().quarantine_status(digest, self.now_us())
+    pub fn request_status(&self, digest: RequestDigest) -> RequestStatus {
+        self.table().request_status(digest, self.now_us())
     }
 
     /// Whether the body of a request with this head must be read to determine its status.
@@ -64,7 +64,7 @@
     /// Records that a run of a request succeeded.
     pub fn note_success(&self, digest: RequestDigest) {
         let now_us = self.now_us();
-        let before = self.table().quarantine_status(digest, now_us);
+        let before = self.table().request_status(digest, now_us);
         if self.table().note_success(digest, now_us) {
             self.log_changes(&[(digest, before)]);
             self.queue(vec![digest]);
@@ -103,7 +103,7 @@
     }
 
     /// Returns the report on one request for other nodes, or `None` if there is none.
-    pub fn reports_of(&self, digest: RequestDigest) -> Option<CrashReport> {
+    pub fn report_on(&self, digest: RequestDigest) -> Option<CrashReport> {
         self.table().reports_of(&[digest], self.now_us()).pop()
     }
 
@@ -143,27 +143,24 @@
         self.has_unsent.notify_one();
     }
 
-    fn statuses(&self, digests: &[RequestDigest]) -> Vec<(RequestDigest, QuarantineStatus)> {
-        digests.iter().map(|digest| (*digest, self.quarantine_status(*digest))).collect()
+    fn statuses(&self, digests: &[RequestDigest]) -> Vec<(RequestDigest, RequestStatus)> {
+        digests.iter().map(|digest| (*digest, self.request_status(*digest))).collect()
     }
 
     /// Logs each change of a request's quarantine status.
-    fn log_changes(&self, before: &[(RequestDigest, QuarantineStatus)]) {
+    fn log_changes(&self, before: &[(RequestDigest, RequestStatus)]) {
         for (digest, before) in before {
-            let after = self.quarantine_status(*digest);
+            let after = self.request_status(*digest);
             let age_ms = self.last_crash_age_ms(*digest);
             match (*before, after) {
-                (QuarantineStatus::Quarantined { .. }, QuarantineStatus::Quarantined { .. }) => {}
-                (_, QuarantineStatus::Quarantined { retry_after_ms }) => log::warn!(
+                (RequestStatus::Quarantined { .. }, RequestStatus::Quarantined { .. }) => {}
+                (_, RequestStatus::Quarantined { retry_after_ms }) => log::warn!(
                     "request {digest}: quarantined for {retry_after_ms} ms, its last target crashed {age_ms} ms ago"
                 ),
-                (QuarantineStatus::Harmless, QuarantineStatus::Suspected(crashes)) => log::info!(
+                (RequestStatus::Harmless, RequestStatus::Suspected(crashes)) => log::info!(
                     "request {digest}: suspected, it was running in {crashes} target crashes, the last one {age_ms} ms ago"
                 ),
-                (
-                    QuarantineStatus::Quarantined { .. } | QuarantineStatus::HalfOpen,
-                    QuarantineStatus::Harmless,
-                ) => {
+                (RequestStatus::Quarantined { .. } | RequestStatus::HalfOpen, RequestStatus::Harmless) => {
                     log::warn!(
                         "request {digest}: out of quarantine, a run of it succeeded or an operator released it"
                     );
@@ -174,7 +171,7 @@
     }
 
     fn last_crash_age_ms(&self, digest: RequestDigest) -> u64 {
-        let report = self.reports_of(digest);
+        let report = self.report_on(digest);
         report.and_then(|report| report.ends.iter().map(|end| end.age_ms).min()).unwrap_or(0)
     }
 
--- a/crates/laurelstall_peer/src/lib.rs
+++ b/crates/laurelstall_peer/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod prelude {
     pub use crate::{
         attempt::{Admission, Attempt, AttemptAnswer, AttemptBody, AttemptHandler, AttemptOutcome},
-        body::{AnswerBody, BodyError},
+        body::{BodyError, BoxedBody},
         client::{PeerClient, PeerError},
         link::{Link, OpenLink},
         message::{AttemptHead, PeerAnswer, PeerRequest, TicketsRequest, WireHint},
--- a/crates/laurelstall_peer/src/link.rs
+++ b/crates/laurelstall_peer/src/link.rs
@@ -8,7 +8,7 @@
     ///
     /// A connection over a partitioned link accepts writes without delivering them, and is reset once the link
     /// works again.
-    fn is_cut(&self, other: SocketAddr) -> bool;
+    fn is_partitioned(&self, other: SocketAddr) -> bool;
 }
 
 /// A network without faults.
@@ -16,7 +16,7 @@
 pub struct OpenLink;
 
 impl Link for OpenLink {
-    fn is_cut(&self, _: SocketAddr) -> bool {
+    fn is_partitioned(&self, _: SocketAddr) -> bool {
         false
     }
 }
--- a/crates/laurelstall_peer/src/meter.rs
+++ b/crates/laurelstall_peer/src/meter.rs
@@ -116,7 +116,7 @@
     }
 
     fn is_partitioned(&mut self) -> io::Result<bool> {
-        let is_partitioned = self.link.as_ref().is_some_and(|(link, other)| link.is_cut(*other));
+        let is_partitioned = self.link.as_ref().is_some_and(|(link, other)| link.is_partitioned(*other));
         if self.was_partitioned && !is_partitioned {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
--- a/crates/laurelstall_peer/src/platform.rs
+++ b/crates/laurelstall_peer/src/platform.rs
@@ -37,7 +37,7 @@
     #[derive(Debug)]
     pub enum PlatformError {
         /// The platform did not answer, answered with an error or unreadably, or has not been read yet.
-        Unreachable(message: String) {
+        ReadFailed(message: String) {
             display("{message}")
         }
     }
--- a/crates/laurelstall_peer/src/pool.rs
+++ b/crates/laurelstall_peer/src/pool.rs
@@ -198,7 +198,7 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<PeerSender, ConnectError> {
-        if self.link.is_cut(address) {
+        if self.link.is_partitioned(address) {
             sleep(CONNECT_TIMEOUT).await;
             return Err(ConnectError::TimedOut);
         }
--- a/crates/laurelstall_peer/src/replication_state.rs
+++ b/crates/laurelstall_peer/src/replication_state.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PartnerState {
     /// Whether the partner had the same versions.
-    pub is_in_step: bool,
+    pub has_same_versions: bool,
     /// Whether the partner answered.
-    pub is_reached: bool,
+    pub has_answered: bool,
     /// Time of the exchange, in µs of this node's clock.
     pub at_us: u64,
 }
--- a/crates/laurelstall_peer/src/replicator.rs
+++ b/crates/laurelstall_peer/src/replicator.rs
@@ -19,7 +19,7 @@
 use laurelstall_config::{
     document::{Document, DocumentName, Version},
     fleet::{Fleet, Host},
-    system::SpreadLimits,
+    system::ReplicationSettings,
 };
 use laurelstall_guard::clock::Clock;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -86,8 +86,8 @@
 pub trait ReplicationView: Send + Sync + std::fmt::Debug {
     /// Returns the list of hosts.
     fn fleet(&self) -> Arc<Fleet>;
-    /// Returns the replication limits.
-    fn spread_limits(&self) -> SpreadLimits;
+    /// Returns the replication settings.
+    fn replication_settings(&self) -> ReplicationSettings;
 }
 
 /// Replicates configuration between this node, the platform and other nodes.
@@ -391,7 +391,7 @@
     }
 
     fn partners_where(&self, fleet: &Fleet, is_wanted: impl Fn(&Host) -> bool) -> Vec<SocketAddr> {
-        let count = self.view.spread_limits().partners;
+        let count = self.view.replication_settings().partners;
         let seed = self.partner_seed.load(Ordering::Relaxed);
         let partners = pick_partners(fleet, &self.options.host, &self.options.data_centre, count, seed);
         partners.into_iter().filter(|host| is_wanted(host)).map(|host| host.node_address).collect()
--- a/crates/laurelstall_peer/src/replicator/anti_entropy.rs
+++ b/crates/laurelstall_peer/src/replicator/anti_entropy.rs
@@ -49,7 +49,7 @@
     /// A node whose host is not listed takes calls but is nobody's partner, so it receives only what it
     /// requests.
     fn exchange_interval_ms(&self) -> u64 {
-        let interval_ms = self.view.spread_limits().exchange_interval_ms;
+        let interval_ms = self.view.replication_settings().exchange_interval_ms;
         let fleet = self.view.fleet();
         let is_unlisted = !fleet.hosts.is_empty() && fleet.host(&self.options.host).is_none();
         if is_unlisted { interval_ms / UNLISTED_EXCHANGE_FACTOR } else { interval_ms }
@@ -137,8 +137,8 @@
 
     fn record_partner_state(&self, address: SocketAddr, answer: Option<&PeerAnswer>) {
         let state = PartnerState {
-            is_in_step: matches!(answer, Some(PeerAnswer::Same(_))),
-            is_reached: answer.is_some(),
+            has_same_versions: matches!(answer, Some(PeerAnswer::Same(_))),
+            has_answered: answer.is_some(),
             at_us: self.clock.now_us(),
         };
         let mut states = self.partner_states.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/laurelstall_peer/src/replicator/platform_reads.rs
+++ b/crates/laurelstall_peer/src/replicator/platform_reads.rs
@@ -66,7 +66,7 @@
                     after = None;
                     let is_substitute = self.reader_role() == ReaderRole::Substitute;
                     let factor = if is_substitute { SUBSTITUTE_PAUSE_FACTOR } else { 1 };
-                    let longest_ms = self.view.spread_limits().read_pause_max_ms * factor;
+                    let longest_ms = self.view.replication_settings().read_pause_max_ms * factor;
                     sleep(self.jittered(read_pause_ms(failures, longest_ms))).await;
                 }
             }
@@ -81,7 +81,7 @@
             () = pause => {}
             () = self.role_changed.notified() => return,
         }
-        let after_ms = self.view.spread_limits().fallback_read_after_ms;
+        let after_ms = self.view.replication_settings().fallback_read_after_ms;
         if self.platform_read_age_ms() < after_ms {
             return;
         }
--- a/crates/laurelstall_peer/src/replicator/standby_readers.rs
+++ b/crates/laurelstall_peer/src/replicator/standby_readers.rs
@@ -44,7 +44,7 @@
         if fleet.hosts.is_empty() {
             return if self.is_bootstrap_reader() { ReaderRole::Reader } else { ReaderRole::None };
         }
-        let count = self.view.spread_limits().readers_per_data_centre;
+        let count = self.view.replication_settings().readers_per_data_centre;
         let Some(preceding) = self.preceding_addresses() else { return ReaderRole::None };
         if preceding.len() < count {
             return ReaderRole::Reader;
@@ -70,7 +70,7 @@
     pub(super) async fn standby_loop(&self) {
         loop {
             sleep(self.jittered(CHECK_INTERVAL_MS)).await;
-            let count = self.view.spread_limits().readers_per_data_centre;
+            let count = self.view.replication_settings().readers_per_data_centre;
             let preceding = self.preceding_addresses().unwrap_or_default();
             let is_standby = (count..count + STANDBYS).contains(&preceding.len());
             let checked = if is_standby { preceding } else { Vec::new() };
--- a/crates/laurelstall_peer/src/server.rs
+++ b/crates/laurelstall_peer/src/server.rs
@@ -258,7 +258,7 @@
             stream.send_data(encode(&head), true).map_err(BodyError::from)
         }
         AttemptOutcome::Unknown(_) => {
-            let head = PeerAnswer::Unknown { call_id, ended: answer.ended, hint };
+            let head = PeerAnswer::Unknown { call_id, ended: answer.crash_report, hint };
             stream.send_data(encode(&head), true).map_err(BodyError::from)
         }
     }
--- a/crates/laurelstall_peer/src/store.rs
+++ b/crates/laurelstall_peer/src/store.rs
@@ -159,7 +159,7 @@
     }
 
     /// Returns the rejected versions that are newer than the held ones.
-    pub fn refused(&self) -> impl Iterator<Item = (&DocumentName, Version)> {
+    pub fn rejected(&self) -> impl Iterator<Item = (&DocumentName, Version)> {
         let newer = |(name, version): &(&DocumentName, Version)| *version > self.version(name);
         self.rejected.iter().map(|(name, version)| (name, *version)).filter(newer)
     }
--- a/crates/laurelstall_peer/tests/crash_reports.rs
+++ b/crates/laurelstall_peer/tests/crash_reports.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use laurelstall_crash::{crash_table::QuarantineStatus, request_digest::RequestDigest};
+use laurelstall_crash::{crash_table::RequestStatus, request_digest::RequestDigest};
 use rand::{SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use support::mesh::Mesh;
 use tokio::time::{Duration, Instant, sleep};
@@ -16,10 +16,8 @@
 /// Number of reachable nodes that do not quarantine the request.
 fn behind(mesh: &Mesh) -> usize {
     let reachable = mesh.nodes.iter().filter(|(address, _)| !mesh.unreachable.contains(*address));
-    let statuses = reachable.map(|(_, replicator)| replicator.crashes().quarantine_status(CRASHING));
-    statuses
-        .filter(|quarantine_status| !matches!(quarantine_status, QuarantineStatus::Quarantined { .. }))
-        .count()
+    let statuses = reachable.map(|(_, replicator)| replicator.crashes().request_status(CRASHING));
+    statuses.filter(|request_status| !matches!(request_status, RequestStatus::Quarantined { .. })).count()
 }
 
 async fn time_to_all(mesh: &Mesh) -> Duration {
--- a/crates/laurelstall_peer/tests/lost_nodes.rs
+++ b/crates/laurelstall_peer/tests/lost_nodes.rs
@@ -7,7 +7,7 @@
 
 use laurelstall_config::{
     document::{DocumentName, Version},
-    system::SpreadLimits,
+    system::ReplicationSettings,
 };
 use laurelstall_peer::{message::Exchange, partners::preceding_hosts};
 use rand::{SeedableRng, rngs::SmallRng, seq::SliceRandom};
@@ -86,7 +86,7 @@
     let mesh = Mesh::start(18, seed).await;
     mesh.platform.publish(1);
     sleep(Duration::from_secs(10)).await;
-    let count = SpreadLimits::default().readers_per_data_centre;
+    let count = ReplicationSettings::default().readers_per_data_centre;
     for host in &mesh.fleet.hosts {
         let ahead = preceding_hosts(&mesh.fleet, &host.name, &host.data_centre).len();
         match loss {
--- a/crates/laurelstall_peer/tests/removed_hosts.rs
+++ b/crates/laurelstall_peer/tests/removed_hosts.rs
@@ -6,7 +6,7 @@
     document::{Document, DocumentName, Version},
     fleet::{Fleet, Host, HostState},
     problem::ConfigError,
-    system::SpreadLimits,
+    system::ReplicationSettings,
 };
 use laurelstall_guard::clock::Clock;
 use laurelstall_peer::{
@@ -53,8 +53,11 @@
         self.fleet.lock().expect("no test panics while it holds it").clone()
     }
 
-    fn spread_limits(&self) -> SpreadLimits {
-        SpreadLimits { exchange_interval_ms: self.exchange_interval_ms, ..SpreadLimits::default() }
+    fn replication_settings(&self) -> ReplicationSettings {
+        ReplicationSettings {
+            exchange_interval_ms: self.exchange_interval_ms,
+            ..ReplicationSettings::default()
+        }
     }
 }
 
--- a/crates/laurelstall_peer/tests/replication.rs
+++ b/crates/laurelstall_peer/tests/replication.rs
@@ -5,7 +5,7 @@
     document::{Document, DocumentName, Version},
     fleet::{Fleet, Host, HostState},
     problem::ConfigError,
-    system::SpreadLimits,
+    system::ReplicationSettings,
 };
 use laurelstall_guard::clock::Clock;
 use laurelstall_peer::{
@@ -36,7 +36,7 @@
 struct AllPartitioned;
 
 impl Link for AllPartitioned {
-    fn is_cut(&self, _: SocketAddr) -> bool {
+    fn is_partitioned(&self, _: SocketAddr) -> bool {
         true
     }
 }
@@ -45,7 +45,7 @@
 struct Open;
 
 impl Link for Open {
-    fn is_cut(&self, _: SocketAddr) -> bool {
+    fn is_partitioned(&self, _: SocketAddr) -> bool {
         false
     }
 }
@@ -78,8 +78,8 @@
         self.0.clone()
     }
 
-    fn spread_limits(&self) -> SpreadLimits {
-        SpreadLimits::default()
+    fn replication_settings(&self) -> ReplicationSettings {
+        ReplicationSettings::default()
     }
 }
 
@@ -95,7 +95,7 @@
 impl OneDocument {
     fn check(&self) -> Result<(), PlatformError> {
         match self.is_unavailable.load(Ordering::Relaxed) {
-            true => Err(PlatformError::Unreachable("unavailable".to_owned())),
+            true => Err(PlatformError::ReadFailed("unavailable".to_owned())),
             false => Ok(()),
         }
     }
--- a/crates/laurelstall_peer/tests/store.rs
+++ b/crates/laurelstall_peer/tests/store.rs
@@ -49,9 +49,9 @@
     assert_eq!(store.version(&DocumentName::System), Version::new(1));
     assert!(!store.wants(&DocumentName::System, Version::new(2)));
     assert!(store.wants(&DocumentName::System, Version::new(3)));
-    assert_eq!(store.refused().count(), 1);
+    assert_eq!(store.rejected().count(), 1);
     store.apply(document(3, "three"), &acceptor);
-    assert_eq!(store.refused().count(), 0);
+    assert_eq!(store.rejected().count(), 0);
 }
 
 #[test]
--- a/crates/laurelstall_peer/tests/support/mesh.rs
+++ b/crates/laurelstall_peer/tests/support/mesh.rs
@@ -7,7 +7,7 @@
     document::{Document, DocumentName, Version},
     fleet::{Fleet, Host, HostState},
     problem::ConfigError,
-    system::SpreadLimits,
+    system::ReplicationSettings,
 };
 use laurelstall_guard::clock::Clock;
 use laurelstall_peer::{
@@ -74,7 +74,7 @@
 }
 
 impl Link for HostLink {
-    fn is_cut(&self, other: SocketAddr) -> bool {
+    fn is_partitioned(&self, other: SocketAddr) -> bool {
         self.unreachable.contains(self.own) || self.unreachable.contains(other)
     }
 }
@@ -96,8 +96,8 @@
         self.0.clone()
     }
 
-    fn spread_limits(&self) -> SpreadLimits {
-        SpreadLimits::default()
+    fn replication_settings(&self) -> ReplicationSettings {
+        ReplicationSettings::default()
     }
 }
 
@@ -139,11 +139,11 @@
         self.platform.calls.fetch_add(1, Ordering::Relaxed);
         if self.unreachable.contains(self.own) {
             sleep(WATCH_WAIT + READ_TIMEOUT).await;
-            return Err(PlatformError::Unreachable("no answer in time".to_owned()));
+            return Err(PlatformError::ReadFailed("no answer in time".to_owned()));
         }
         let version = self.platform.version.load(Ordering::Relaxed);
         if version == 0 || self.platform.refused.contains(self.own) {
-            return Err(PlatformError::Unreachable("refused".to_owned()));
+            return Err(PlatformError::ReadFailed("refused".to_owned()));
         }
         Ok(version)
     }
--- a/crates/laurelstall_standin/src/partitions.rs
+++ b/crates/laurelstall_standin/src/partitions.rs
@@ -53,7 +53,7 @@
 }
 
 impl Link for HostLink {
-    fn is_cut(&self, other: SocketAddr) -> bool {
+    fn is_partitioned(&self, other: SocketAddr) -> bool {
         let partitioned = self.partitions.partitioned.read().unwrap_or_else(PoisonError::into_inner);
         if partitioned.is_empty() {
             return false;
--- a/crates/laurelstall_standin/src/platform.rs
+++ b/crates/laurelstall_standin/src/platform.rs
@@ -264,7 +264,7 @@
 
     fn check_available(&self) -> Result<(), PlatformError> {
         if self.is_unavailable.load(Ordering::Relaxed) {
-            return Err(PlatformError::Unreachable("the platform is unavailable".to_owned()));
+            return Err(PlatformError::ReadFailed("the platform is unavailable".to_owned()));
         }
         Ok(())
     }
@@ -297,7 +297,7 @@
 
     fn check_partition(&self) -> Result<(), PlatformError> {
         if self.is_partitioned.load(Ordering::Relaxed) {
-            return Err(PlatformError::Unreachable(
+            return Err(PlatformError::ReadFailed(
                 "the data centre is partitioned from the platform".to_owned(),
             ));
         }
@@ -323,7 +323,7 @@
         async move {
             self.check_partition()?;
             let document = self.platform.read_key(&name.to_string()).await?;
-            document.ok_or_else(|| PlatformError::Unreachable(format!("the platform has no document {name}")))
+            document.ok_or_else(|| PlatformError::ReadFailed(format!("the platform has no document {name}")))
         }
         .boxed()
     }
--- a/crates/laurelstall_standin/src/target.rs
+++ b/crates/laurelstall_standin/src/target.rs
@@ -49,7 +49,7 @@
 /// Mean overshoot of the timer in µs, subtracted from each service time.
 const TIMER_OVERSHOOT_US: f64 = 900.0;
 
-type AnswerBody = UnsyncBoxBody<Bytes, Box<dyn Error + Send + Sync>>;
+type BoxedBody = UnsyncBoxBody<Bytes, Box<dyn Error + Send + Sync>>;
 
 /// Behaviour of a stand-in target, which can change at any time.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -216,7 +216,7 @@
         graceful.shutdown().await;
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer(&self, request: Request<Incoming>) -> Response<BoxedBody> {
         if request.uri().path().starts_with("/standin/") {
             return self.handle_control(&request);
         }
@@ -316,7 +316,7 @@
 
     /// Handles `POST /standin/set?speed=0.1&failing=1&shedding=0&cutting=0`, which changes the behaviour of a target
     /// that runs as its own process.
-    fn handle_control(&self, request: &Request<Incoming>) -> Response<AnswerBody> {
+    fn handle_control(&self, request: &Request<Incoming>) -> Response<BoxedBody> {
         let query = request.uri().query().unwrap_or_default();
         self.update_behaviour(|behaviour| {
             for (name, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
@@ -353,7 +353,7 @@
 }
 
 /// Echoes the request body, or sends a generated body of the requested length.
-async fn respond(request: Request<Incoming>, is_cutting: bool) -> Response<AnswerBody> {
+async fn respond(request: Request<Incoming>, is_cutting: bool) -> Response<BoxedBody> {
     let key = request.headers().get(KEY_HEADER).cloned();
     let bytes =
         request.headers().get(ANSWER_BYTES_HEADER).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
@@ -404,7 +404,7 @@
     }
 }
 
-fn text_response(status: StatusCode, message: &str) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, message: &str) -> Response<BoxedBody> {
     let body = Full::new(Bytes::from(message.to_owned())).map_err(|never| match never {});
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = status;
