--- a/crates/laurelstall_standin/examples/transfer_sizes.rs
+++ b/crates/laurelstall_standin/examples/transfer_sizes.rs
@@ -1,6 +1,6 @@
-//! What a change of configuration costs on the wire: whole, compressed, or as a delta.
+//! Compares the bytes that a configuration change takes on the wire: as a full document, compressed, or as a delta.
 //!
-//! Takes the documents of the letter's size and makes a day's changes to them. Run it with
+//! Applies the changes of one day to the documents of the reference deployment. Run it with
 //! `cargo run --release -p laurelstall_standin --example transfer_sizes`.
 
 use laurelstall_peer::delta::{pack_delta, pack_whole, unpack_delta};
@@ -16,17 +16,17 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut documents = team_documents(TARGETS);
     let all: usize = documents.iter().map(|(_, text)| text.len()).sum();
-    let (mut whole, mut packed, mut delta) = (0, 0, 0);
+    let (mut full, mut packed, mut delta) = (0, 0, 0);
     let mut delta_us = 0;
     for _ in 0..CHANGES_PER_DAY {
         let number = rng.random_range(0..documents.len());
         let (_, text) = &mut documents[number];
         let changed = change(text, &mut rng);
-        whole += changed.len();
+        full += changed.len();
         packed += pack_whole(&changed).len();
         let started = Instant::now();
         let bytes = pack_delta(text, &changed);
-        let rebuilt = unpack_delta(text, &bytes, changed.len()).expect("the base fits");
+        let rebuilt = unpack_delta(text, &bytes, changed.len()).expect("the delta applies to its base");
         delta_us += started.elapsed().as_micros();
         assert_eq!(rebuilt, changed);
         delta += bytes.len();
@@ -40,13 +40,13 @@
         );
     };
     println!("{} documents of {all} bytes together", documents.len());
-    show("the team's document whole", whole);
+    show("the team's document whole", full);
     show("the team's document with zstd", packed);
     show("zstd against the last version", delta);
     println!("packing and rebuilding a delta takes {} us", delta_us / CHANGES_PER_DAY as u128);
 }
 
-/// A deploy: one target goes, another comes, or a limit is another.
+/// Simulates a deploy, which removes a target, adds one, or changes a limit.
 fn change(text: &str, rng: &mut SmallRng) -> String {
     let targets = text.matches("[[service.target]]").count();
     let number = rng.random_range(0..1_000);
--- a/crates/laurelstall_standin/src/bin/laurelstall-fleet.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-fleet.rs
@@ -1,4 +1,4 @@
-//! Measures how configuration spreads over many nodes, and what control costs each.
+//! Measures configuration propagation over many nodes and the cost of control traffic per node.
 
 use gumdrop::Options;
 use laurelstall_standin::{
@@ -7,11 +7,11 @@
 };
 use std::process::ExitCode;
 
-/// Exit code for wrong use.
-const WRONG_USE: u8 = 2;
-/// Exit code for a broken promise.
-const BROKEN_PROMISE: u8 = 3;
-/// Most nodes in one process: three listeners and some connections each stay within descriptors.
+/// Exit code for invalid arguments.
+const EXIT_USAGE: u8 = 2;
+/// Exit code for a violated guarantee.
+const EXIT_GUARANTEE_VIOLATED: u8 = 3;
+/// Largest number of nodes in one process, which keeps listeners and connections within the descriptor limit.
 const NODES_MAX: usize = 1_000;
 
 #[derive(Debug, Options)]
@@ -20,13 +20,18 @@
     help: bool,
     #[options(help = "print the version")]
     version: bool,
-    #[options(help = "nodes, 2 to 1000", default = "50", meta = "N")]
+    #[options(help = "number of nodes, 2 to 1000", default = "50", meta = "N")]
     nodes: usize,
-    #[options(help = "length in s", default = "20", meta = "N")]
+    #[options(help = "length of the run in s", default = "20", meta = "N")]
     seconds: u64,
-    #[options(help = "pause between two changes in ms, 0 for none", no_short, default = "1000", meta = "N")]
+    #[options(
+        help = "interval between two changes in ms, 0 for no changes",
+        no_short,
+        default = "1000",
+        meta = "N"
+    )]
     change_interval_ms: u64,
-    #[options(help = "none, restarts, cut, stale or away", default = "none", meta = "NAME")]
+    #[options(help = "none, restarts, cut, stale, away or returned", default = "none", meta = "NAME")]
     disturbance: String,
     #[options(help = "seed of all random choices", no_short, default = "1", meta = "N")]
     seed: u64,
@@ -42,8 +47,8 @@
     }
     let disturbance = Disturbance::from_name(&arguments.disturbance);
     let Some(disturbance) = disturbance.filter(|_| (2..=NODES_MAX).contains(&arguments.nodes)) else {
-        eprintln!("laurelstall-fleet: wrong --nodes or --disturbance; see --help");
-        return ExitCode::from(WRONG_USE);
+        eprintln!("laurelstall-fleet: invalid --nodes or --disturbance; see --help");
+        return ExitCode::from(EXIT_USAGE);
     };
     let plan = FleetPlan {
         nodes: arguments.nodes,
@@ -64,11 +69,11 @@
     if let Some(file) = arguments.json {
         let text = serde_json::to_string_pretty(&result).unwrap_or_default();
         if let Err(error) = std::fs::write(&file, text) {
-            eprintln!("laurelstall-fleet: {file}: {error}");
+            eprintln!("laurelstall-fleet: cannot write {file}: {error}");
             return ExitCode::FAILURE;
         }
     }
-    if result.fell_back > 0 { ExitCode::from(BROKEN_PROMISE) } else { ExitCode::SUCCESS }
+    if result.fell_back > 0 { ExitCode::from(EXIT_GUARANTEE_VIOLATED) } else { ExitCode::SUCCESS }
 }
 
 fn print_result(result: &FleetResult) {
--- a/crates/laurelstall_standin/src/bin/laurelstall-load.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-load.rs
@@ -1,9 +1,9 @@
-//! Runs a scenario under several balancers in turn and compares them.
+//! Runs a scenario under several balancers, one after the other, and compares them.
 
 use gumdrop::Options;
 use laurelstall_config::team::ServiceLimits;
 use laurelstall_standin::{
-    experiment::{Balancer, BalancerResult, Tuning, run},
+    experiment::{Balancer, BalancerResult, RunOptions, run},
     report,
     scenario::Scenario,
     threads::RuntimeThread,
@@ -11,10 +11,10 @@
 use serde::Serialize;
 use std::{collections::BTreeMap, path::Path, process::ExitCode};
 
-/// Exit code for wrong use.
-const WRONG_USE: u8 = 2;
-/// Exit code for a broken promise.
-const BROKEN_PROMISE: u8 = 3;
+/// Exit code for invalid arguments.
+const EXIT_USAGE: u8 = 2;
+/// Exit code for a violated guarantee.
+const EXIT_GUARANTEE_VIOLATED: u8 = 3;
 
 #[derive(Debug, Options)]
 struct Arguments {
@@ -24,23 +24,27 @@
     version: bool,
     #[options(help = "scenario file (TOML)", meta = "FILE")]
     scenario: Option<String>,
-    #[options(help = "balancers in turn, by comma; all when absent", meta = "NAMES")]
+    #[options(help = "balancers to run, separated by commas; default: all", meta = "NAMES")]
     balancer: Option<String>,
     #[options(help = "seed of all random choices", default = "1", meta = "N")]
     seed: u64,
-    #[options(help = "length in s instead of the scenario's", no_short, meta = "N")]
+    #[options(help = "length in s, overrides the scenario's", no_short, meta = "N")]
     seconds: Option<u64>,
     #[options(help = "write the results as JSON", meta = "FILE")]
     json: Option<String>,
     #[options(help = "draw the results as SVG", no_short, meta = "FILE")]
     svg: Option<String>,
-    #[options(help = "observing budget in percent of the default", no_short, default = "100", meta = "N")]
+    #[options(help = "observation budget in percent of the default", no_short, default = "100", meta = "N")]
     observe_percent: u64,
-    #[options(help = "service limits as in a team's document, by comma", no_short, meta = "KEY=VALUE")]
+    #[options(
+        help = "service limits as in a team's document, separated by commas",
+        no_short,
+        meta = "KEY=VALUE"
+    )]
     limits: Option<String>,
-    #[options(help = "hedge repeatable calls after so many ms", no_short, meta = "N")]
+    #[options(help = "hedge repeatable calls after this many ms", no_short, meta = "N")]
     hedge_after_ms: Option<u64>,
-    #[options(help = "no decision log", no_short)]
+    #[options(help = "disable the decision log", no_short)]
     no_decision_log: bool,
 }
 
@@ -49,7 +53,7 @@
     scenario: String,
     seed: u64,
     balancers: BTreeMap<String, BalancerResult>,
-    /// The product's own figures over each other balancer's.
+    /// Laurelstall's figures divided by those of each other balancer.
     ratios: BTreeMap<String, Ratios>,
 }
 
@@ -66,16 +70,16 @@
         println!("laurelstall-load {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    let (scenario, balancers) = match read(&arguments) {
-        Ok(read) => read,
+    let (scenario, balancers) = match parse_arguments(&arguments) {
+        Ok(parsed) => parsed,
         Err(message) => {
             eprintln!("{message}");
-            return ExitCode::from(WRONG_USE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match measure(&arguments, &scenario, &balancers) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN_PROMISE),
+        Ok(false) => ExitCode::from(EXIT_GUARANTEE_VIOLATED),
         Err(message) => {
             eprintln!("laurelstall-load: {message}");
             ExitCode::FAILURE
@@ -83,24 +87,23 @@
     }
 }
 
-fn read(arguments: &Arguments) -> Result<(Scenario, Vec<Balancer>), String> {
-    let file =
-        arguments.scenario.as_ref().ok_or("laurelstall-load: --scenario FILE is needed; see --help")?;
+fn parse_arguments(arguments: &Arguments) -> Result<(Scenario, Vec<Balancer>), String> {
+    let file = arguments.scenario.as_ref().ok_or("laurelstall-load: missing --scenario FILE; see --help")?;
     let text = std::fs::read_to_string(file).map_err(|error| format!("{file}: {error}"))?;
     let mut scenario = Scenario::from_text(file, &text).map_err(|error| error.to_string())?;
     scenario.seconds = arguments.seconds.unwrap_or(scenario.seconds);
     let Some(names) = &arguments.balancer else { return Ok((scenario, Balancer::ALL.to_vec())) };
     let by_name =
-        |name: &str| Balancer::from_name(name).ok_or(format!("laurelstall-load: no balancer '{name}'"));
+        |name: &str| Balancer::from_name(name).ok_or(format!("laurelstall-load: unknown balancer '{name}'"));
     let balancers = names.split(',').map(by_name).collect::<Result<Vec<_>, _>>()?;
     Ok((scenario, balancers))
 }
 
-/// Runs all balancers; false when a promise was broken.
+/// Runs all balancers; returns false if Laurelstall's own violated a guarantee.
 fn measure(arguments: &Arguments, scenario: &Scenario, balancers: &[Balancer]) -> Result<bool, String> {
     let limits = arguments.limits.as_deref().unwrap_or_default().replace(',', "\n");
     let limits = toml::from_str::<ServiceLimits>(&limits).map_err(|error| format!("--limits: {error}"))?;
-    let tuning = Tuning {
+    let options = RunOptions {
         observe_percent: arguments.observe_percent,
         limits,
         hedge_after_ms: arguments.hedge_after_ms,
@@ -127,17 +130,18 @@
     for balancer in balancers {
         let thread = RuntimeThread::start("callers");
         let (owned, balancer, seed) = (scenario.clone(), *balancer, arguments.seed);
-        let result = thread.block_on(async move { run(&owned, balancer, tuning, seed).await })?;
+        let result = thread.block_on(async move { run(&owned, balancer, options, seed).await })?;
         print_row(balancer.name(), &result);
         results.push((balancer.name().to_owned(), result));
     }
     write_files(arguments, scenario, &results)?;
-    let broken = results.iter().filter(|(name, result)| name == "laurelstall" && is_broken(result));
-    Ok(broken.count() == 0)
+    let violating =
+        results.iter().filter(|(name, result)| name == "laurelstall" && violates_guarantees(result));
+    Ok(violating.count() == 0)
 }
 
-fn is_broken(result: &BalancerResult) -> bool {
-    result.totals.is_broken() || result.observe_bytes_per_s_max > result.observe_budget_bytes_per_s
+fn violates_guarantees(result: &BalancerResult) -> bool {
+    result.totals.violates_guarantees() || result.observe_bytes_per_s_max > result.observe_budget_bytes_per_s
 }
 
 fn print_row(name: &str, result: &BalancerResult) {
@@ -167,24 +171,24 @@
     scenario: &Scenario,
     results: &[(String, BalancerResult)],
 ) -> Result<(), String> {
-    let own = results.iter().find(|(name, _)| name == "laurelstall").map(|(_, result)| result);
+    let laurelstall = results.iter().find(|(name, _)| name == "laurelstall").map(|(_, result)| result);
     let ratio = |other: &BalancerResult| {
-        own.map(|own| Ratios {
-            p99: own.p99_ms / other.p99_ms.max(0.001),
-            p999: own.p999_ms / other.p999_ms.max(0.001),
-            goodput: own.goodput_per_s / other.goodput_per_s.max(0.001),
+        laurelstall.map(|laurelstall| Ratios {
+            p99: laurelstall.p99_ms / other.p99_ms.max(0.001),
+            p999: laurelstall.p999_ms / other.p999_ms.max(0.001),
+            goodput: laurelstall.goodput_per_s / other.goodput_per_s.max(0.001),
         })
     };
     let ratios = results.iter().filter(|(name, _)| name != "laurelstall");
     let ratios = ratios.filter_map(|(name, result)| Some((name.clone(), ratio(result)?))).collect();
-    let whole = LoadResult {
+    let load_result = LoadResult {
         scenario: scenario.name.clone(),
         seed: arguments.seed,
         balancers: results.iter().cloned().collect(),
         ratios,
     };
     if let Some(file) = &arguments.json {
-        let text = serde_json::to_string_pretty(&whole).map_err(|error| error.to_string())?;
+        let text = serde_json::to_string_pretty(&load_result).map_err(|error| error.to_string())?;
         std::fs::write(file, text).map_err(|error| format!("{file}: {error}"))?;
     }
     if let Some(file) = &arguments.svg {
--- a/crates/laurelstall_standin/src/bin/laurelstall-standin-platform.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-standin-platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in platform as a process of its own: publishes the documents of a folder.
+//! Runs a stand-in platform as its own process, which publishes the documents of a folder.
 
 use gumdrop::Options;
 use laurelstall_config::document::DocumentName;
@@ -13,11 +13,11 @@
     time::{Duration, Instant},
 };
 
-/// Pause between two looks at the folder.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between two scans of the folder.
+const SCAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time from a return until the folder's files are published again.
-const REWRITE_PAUSE: Duration = Duration::from_secs(1);
+/// Time from a restore until the folder's files are published again.
+const REPUBLISH_DELAY: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Options)]
 struct Arguments {
@@ -25,19 +25,19 @@
     help: bool,
     #[options(help = "print the version")]
     version: bool,
-    #[options(help = "where to listen", default = "127.0.0.1:6000", meta = "IP:PORT")]
+    #[options(help = "address to listen on", default = "127.0.0.1:6000", meta = "IP:PORT")]
     listen: String,
     #[options(help = "folder with fleet.toml, system.toml and team-NAME.toml", no_short, meta = "FOLDER")]
     documents: Option<PathBuf>,
-    #[options(help = "make a copy after so many s", no_short, meta = "N")]
+    #[options(help = "make a copy of all documents after this many s", no_short, meta = "N")]
     copy_at: Option<u64>,
     #[options(
-        help = "come back from that copy after so many s; files are published again a s later",
+        help = "restore the platform from that copy after this many s; files are published again 1 s later",
         no_short,
         meta = "N"
     )]
     return_at: Option<u64>,
-    #[options(help = "end by itself after so many s", no_short, default = "3600", meta = "N")]
+    #[options(help = "exit after this many s", no_short, default = "3600", meta = "N")]
     seconds: u64,
 }
 
@@ -48,13 +48,13 @@
         return ExitCode::SUCCESS;
     }
     let Some(folder) = arguments.documents else {
-        eprintln!("laurelstall-standin-platform: --documents FOLDER is needed; see --help");
+        eprintln!("laurelstall-standin-platform: missing --documents FOLDER; see --help");
         return ExitCode::from(2);
     };
     let listener = match TcpListener::bind(&arguments.listen) {
         Ok(listener) => listener,
         Err(error) => {
-            eprintln!("laurelstall-standin-platform: {}: {error}", arguments.listen);
+            eprintln!("laurelstall-standin-platform: cannot listen on {}: {error}", arguments.listen);
             return ExitCode::FAILURE;
         }
     };
@@ -68,21 +68,21 @@
         let end = started + Duration::from_secs(arguments.seconds);
         let copy_at = arguments.copy_at.map(|s| started + Duration::from_secs(s));
         let return_at = arguments.return_at.map(|s| started + Duration::from_secs(s));
-        let (mut copy, mut is_back) = (None, false);
+        let (mut copy, mut is_restored) = (None, false);
         let mut published = HashMap::new();
         while Instant::now() < end {
             if copy.is_none() && is_due(copy_at) {
                 copy = Some(platform.snapshot());
             }
-            if let Some(copy) = copy.as_ref().filter(|_| !is_back && is_due(return_at)) {
-                println!("came back from its copy");
-                platform.return_from(copy);
-                is_back = true;
-                tokio::time::sleep(REWRITE_PAUSE).await;
+            if let Some(copy) = copy.as_ref().filter(|_| !is_restored && is_due(return_at)) {
+                println!("restored from the copy");
+                platform.restore(copy);
+                is_restored = true;
+                tokio::time::sleep(REPUBLISH_DELAY).await;
                 published.clear();
             }
             publish_changes(&platform, &folder, &mut published);
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(SCAN_INTERVAL).await;
         }
         println!("calls: {}", platform.calls());
     });
@@ -93,7 +93,7 @@
     at.is_some_and(|at| Instant::now() >= at)
 }
 
-/// Publishes each file whose text is not the one published last.
+/// Publishes each file whose text differs from the latest published one.
 fn publish_changes(platform: &Arc<StandinPlatform>, folder: &Path, published: &mut HashMap<PathBuf, String>) {
     let Ok(entries) = fs::read_dir(folder) else { return };
     for path in entries.flatten().map(|entry| entry.path()) {
--- a/crates/laurelstall_standin/src/bin/laurelstall-standin-target.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-standin-target.rs
@@ -1,8 +1,8 @@
-//! A stand-in target as a process of its own.
+//! Runs a stand-in target as its own process.
 
 use gumdrop::Options;
 use laurelstall_standin::{
-    records::Records,
+    records::RunRecords,
     target::{StandinTarget, TargetPlan},
 };
 use std::{net::TcpListener, process::ExitCode, sync::Arc, time::Duration};
@@ -13,19 +13,19 @@
     help: bool,
     #[options(help = "print the version")]
     version: bool,
-    #[options(help = "where to listen", default = "127.0.0.1:9000", meta = "IP:PORT")]
+    #[options(help = "address to listen on", default = "127.0.0.1:9000", meta = "IP:PORT")]
     listen: String,
-    #[options(help = "name", default = "target", no_short, meta = "NAME")]
+    #[options(help = "name of the target", default = "target", no_short, meta = "NAME")]
     name: String,
-    #[options(help = "requests run at once", default = "12", no_short, meta = "N")]
+    #[options(help = "number of requests that run concurrently", default = "12", no_short, meta = "N")]
     slots: u32,
     #[options(help = "mean service time in ms", default = "10", meta = "N")]
     mean_ms: f64,
-    #[options(help = "time to open a connection in ms", default = "1", meta = "N")]
+    #[options(help = "delay in ms before an accepted connection is served", default = "1", meta = "N")]
     open_ms: u64,
-    #[options(help = "seed of its service times", no_short, default = "1", meta = "N")]
+    #[options(help = "seed of the random service times", no_short, default = "1", meta = "N")]
     seed: u64,
-    #[options(help = "end by itself after so many s", no_short, default = "3600", meta = "N")]
+    #[options(help = "exit after this many s", no_short, default = "3600", meta = "N")]
     seconds: u64,
 }
 
@@ -38,7 +38,7 @@
     let listener = match TcpListener::bind(&arguments.listen) {
         Ok(listener) => listener,
         Err(error) => {
-            eprintln!("laurelstall-standin-target: {}: {error}", arguments.listen);
+            eprintln!("laurelstall-standin-target: cannot listen on {}: {error}", arguments.listen);
             return ExitCode::FAILURE;
         }
     };
@@ -53,7 +53,7 @@
         return ExitCode::FAILURE;
     };
     runtime.block_on(async {
-        let records = Arc::new(Records::default());
+        let records = Arc::new(RunRecords::default());
         let target = StandinTarget::start(plan, records.clone(), listener);
         tokio::time::sleep(Duration::from_secs(arguments.seconds)).await;
         println!("served {}, recorded {}", target.served(), records.len());
--- a/crates/laurelstall_standin/src/bin/laurelstall-try.rs
+++ b/crates/laurelstall_standin/src/bin/laurelstall-try.rs
@@ -1,8 +1,8 @@
-//! Platform, services, nodes and callers in one process, for some seconds; then a table.
+//! Runs platform, targets, nodes and callers in one process for some seconds and prints a table of results.
 
 use gumdrop::Options;
 use laurelstall_standin::{
-    callers::{CallPlan, Callers, Entries, Totals, latency_of},
+    callers::{CallPlan, Callers, EntryAddresses, Totals, answered_latency},
     harness::Harness,
     harness_plan::HarnessPlan,
     threads::RuntimeThread,
@@ -10,11 +10,11 @@
 use serde::Serialize;
 use std::{process::ExitCode, sync::atomic::Ordering, time::Duration};
 
-/// Exit code for wrong use.
-const WRONG_USE: u8 = 2;
-/// Exit code for a broken promise.
-const BROKEN_PROMISE: u8 = 3;
-/// Pause between two pings.
+/// Exit code for invalid arguments.
+const EXIT_USAGE: u8 = 2;
+/// Exit code for a violated guarantee.
+const EXIT_GUARANTEE_VIOLATED: u8 = 3;
+/// Pause before each pair of pings.
 const PING_PAUSE: Duration = Duration::from_millis(3);
 
 #[derive(Debug, Options)]
@@ -23,11 +23,11 @@
     help: bool,
     #[options(help = "print the version")]
     version: bool,
-    #[options(help = "how long callers call", default = "8", meta = "N")]
+    #[options(help = "how long callers make calls, in s", default = "8", meta = "N")]
     seconds: u64,
-    #[options(help = "calls a second", default = "400", meta = "N")]
+    #[options(help = "calls per second", default = "400", meta = "N")]
     rate: u64,
-    #[options(help = "faltgard or kuantan", default = "faltgard", meta = "NAME")]
+    #[options(help = "deployment to run: faltgard or kuantan", default = "faltgard", meta = "NAME")]
     deployment: String,
     #[options(help = "seed of all random choices", default = "1", meta = "N")]
     seed: u64,
@@ -61,14 +61,14 @@
     }
     let Some(mut plan) = HarnessPlan::deployment(&arguments.deployment, 4, 8.0) else {
         eprintln!("laurelstall-try: --deployment must be faltgard or kuantan");
-        return ExitCode::from(WRONG_USE);
+        return ExitCode::from(EXIT_USAGE);
     };
     plan.seed = arguments.seed;
     for service in &mut plan.services {
         service.targets = 3;
     }
-    let main = RuntimeThread::start("callers");
-    let result = main.block_on(run(plan, arguments.seconds, arguments.rate as f64));
+    let thread = RuntimeThread::start("callers");
+    let result = thread.block_on(run(plan, arguments.seconds, arguments.rate as f64));
     let result = match result {
         Ok(result) => result,
         Err(message) => {
@@ -80,20 +80,24 @@
     if let Some(file) = arguments.json {
         let text = serde_json::to_string_pretty(&result).unwrap_or_default();
         if let Err(error) = std::fs::write(&file, text) {
-            eprintln!("laurelstall-try: {file}: {error}");
+            eprintln!("laurelstall-try: cannot write {file}: {error}");
             return ExitCode::FAILURE;
         }
     }
-    if result.totals.is_broken() { ExitCode::from(BROKEN_PROMISE) } else { ExitCode::SUCCESS }
+    if result.totals.violates_guarantees() {
+        ExitCode::from(EXIT_GUARANTEE_VIOLATED)
+    } else {
+        ExitCode::SUCCESS
+    }
 }
 
 async fn run(plan: HarnessPlan, seconds: u64, rate_per_s: f64) -> Result<TryResult, String> {
-    eprintln!("starting the platform, {} services, their targets and nodes", plan.services.len());
+    eprintln!("starting the platform and the targets and nodes of {} services", plan.services.len());
     let services = plan.services.iter().map(|service| service.name.clone()).collect::<Vec<_>>();
     let seed = plan.seed;
     let harness = Harness::start(plan).await.map_err(|error| error.to_string())?;
     let nodes = harness.nodes();
-    let entries = Entries::new(nodes.iter().map(|(_, node)| node.entry_address).collect());
+    let entries = EntryAddresses::new(nodes.iter().map(|(_, node)| node.entry_address).collect());
     let callers = Callers::new(entries.clone());
     let length = Duration::from_secs(seconds);
     let calls = CallPlan {
@@ -108,29 +112,30 @@
     let before = control_bytes(&harness);
     let ping_targets = harness.target_addresses(&services[0]);
     let (calling, progress) = (callers.clone(), callers.clone());
-    let shown = tokio::spawn(async move {
+    let progress_task = tokio::spawn(async move {
         for second in 1..seconds {
             tokio::time::sleep(Duration::from_secs(1)).await;
             eprintln!("{second}/{seconds} s, {} calls ended", progress.finished().len());
         }
     });
-    // On a thread of its own, so that the load of the other callers is not measured with it.
+    // Pings run on their own thread, so that the other callers do not delay them.
     let pinger = RuntimeThread::start("pinger");
-    let pinging = Callers::new(entries);
-    let is_over = callers.clone();
-    let pings = pinger
-        .handle()
-        .spawn(async move { pinging.ping(&services[0], &ping_targets, PING_PAUSE, seed, &is_over).await });
+    let ping_callers = Callers::new(entries);
+    let load_callers = callers.clone();
+    let ping_task = pinger.handle().spawn(async move {
+        ping_callers.ping(&services[0], &ping_targets, PING_PAUSE, seed, &load_callers).await
+    });
     calling.run(&calls).await;
-    let (through, direct) = pings.await.map_err(|error| error.to_string())?;
-    shown.abort();
+    let (via_entry, direct) = ping_task.await.map_err(|error| error.to_string())?;
+    progress_task.abort();
     let after = control_bytes(&harness);
     let finished = callers.finished().clone();
     let totals = Totals::count(&finished, &harness.records);
-    let latency = latency_of(&finished);
-    let added = |percent: f64| through.percentile_ms(percent) - direct.percentile_ms(percent);
+    let latency = answered_latency(&finished);
+    let added = |percent: f64| via_entry.percentile_ms(percent) - direct.percentile_ms(percent);
     let per_node = seconds as f64 * nodes.len() as f64;
-    let observed: u64 = nodes.iter().map(|(_, node)| node.entry.context.observer.spent().bytes).sum();
+    let observation_bytes: u64 =
+        nodes.iter().map(|(_, node)| node.entry.context.observer.spent().bytes).sum();
     Ok(TryResult {
         totals,
         p50_ms: latency.percentile_ms(50.0),
@@ -141,18 +146,18 @@
         added_p999_ms: added(99.9),
         direct_p50_ms: direct.percentile_ms(50.0),
         direct_p99_ms: direct.percentile_ms(99.0),
-        pings: through.count(),
+        pings: via_entry.count(),
         control_bytes_per_s_per_node: (after - before) as f64 / per_node,
-        observe_bytes_per_s_per_node: observed as f64 / per_node,
+        observe_bytes_per_s_per_node: observation_bytes as f64 / per_node,
         nodes: nodes.len(),
     })
 }
 
 fn control_bytes(harness: &Harness) -> u64 {
-    let of = |node: &laurelstall_standin::node_thread::NodeThread| {
+    let bytes = |node: &laurelstall_standin::node_thread::NodeThread| {
         node.meter().control_bytes.load(Ordering::Relaxed)
     };
-    harness.nodes().iter().map(|(_, node)| of(node)).sum()
+    harness.nodes().iter().map(|(_, node)| bytes(node)).sum()
 }
 
 fn print_table(result: &TryResult) {
--- a/crates/laurelstall_standin/src/call_uri.rs
+++ b/crates/laurelstall_standin/src/call_uri.rs
@@ -1,4 +1,4 @@
-//! Where stand-in callers and targets send calls.
+//! URIs of the calls that stand-in callers and targets make.
 
 use http::Uri;
 use std::net::SocketAddr;
@@ -6,11 +6,11 @@
 /// Host name that stand-in callers use.
 pub const CALLER_HOST: &str = "standin.example";
 
-/// Where a service's calls go at an entry.
+/// Returns the URI of a call to `service` at the entry node or target at `address`.
 ///
 /// # Panics
 ///
-/// Never for the names of services.
+/// Panics if `service` is not a valid path segment.
 pub fn uri(address: SocketAddr, service: &str) -> Uri {
-    format!("http://{address}/{service}/x").parse().expect("an address and a name make a URI")
+    format!("http://{address}/{service}/x").parse().expect("service names are valid path segments")
 }
--- a/crates/laurelstall_standin/src/callers.rs
+++ b/crates/laurelstall_standin/src/callers.rs
@@ -1,11 +1,11 @@
-//! Callers: calls at planned instants, each answer checked, each outcome held against the
-//! targets' records.
+//! Stand-in callers: they make calls at planned instants, verify each answer, and compare each outcome with the
+//! targets' run records.
 
 use crate::{
     call_uri::{CALLER_HOST, uri},
-    latency::Latency,
-    records::Records,
-    target::{ANSWER_BYTES, CHAIN, KEY, NO_WORK, pattern_byte},
+    latency::LatencyHistogram,
+    records::RunRecords,
+    target::{ANSWER_BYTES_HEADER, CHAIN_HEADER, KEY_HEADER, NO_WORK_HEADER, pattern_byte},
 };
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, StatusCode, Uri, header::HOST};
@@ -29,180 +29,180 @@
     time::{Duration, Instant, sleep, timeout},
 };
 
-/// Longest wait of a caller.
+/// Time after which a caller gives up on a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long before a planned instant the caller stops sleeping and polls: timers are too coarse.
-const SPIN: Duration = Duration::from_millis(2);
+/// How long before a planned instant the caller stops sleeping and polls, because timers are too coarse.
+const SPIN_WINDOW: Duration = Duration::from_millis(2);
 
-/// The kinds of call.
+/// Kind of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
-    /// May be repeated.
+    /// A `GET` call that may be repeated.
     Read,
-    /// May not be repeated.
+    /// A `POST` call that must not be repeated.
     Write,
-    /// No work at the target, to measure the way.
+    /// A call without work at the target, which measures the network path.
     Ping,
 }
 
-/// Calls to make.
+/// The calls that a population of callers makes.
 #[derive(Debug, Clone)]
 pub struct CallPlan {
-    /// Services called in turn at random.
+    /// Services to call; each call chooses one at random.
     pub services: Vec<String>,
-    /// Calls a second.
+    /// Mean number of calls per second.
     pub rate_per_s: f64,
-    /// Start of this plan on the clock that planned instants count from.
+    /// Start of this plan, relative to the start of the run.
     pub start: StdDuration,
-    /// For how long.
+    /// How long calls are made.
     pub length: StdDuration,
-    /// Share of calls that may not be repeated.
+    /// Share of calls that must not be repeated, from 0 to 1.
     pub write_share: f64,
-    /// Seed of instants and choices.
+    /// Seed of the random instants and choices.
     pub seed: u64,
-    /// Services that the first one calls on, one after the other.
+    /// Services below the first one in a call chain, in order.
     pub chain: Vec<String>,
 }
 
-/// What a caller saw.
+/// Outcome of a call as its caller observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
-    /// The complete answer to its own request.
+pub enum ObservedOutcome {
+    /// The caller received the complete answer to its own request.
     Answered,
-    /// A target's error.
+    /// The caller received an error response.
     Failed,
-    /// *Not run*.
+    /// The caller was told that the call did not run.
     NotRun,
-    /// *Unknown*.
+    /// The caller was told that the outcome is unknown.
     Unknown,
-    /// No answer: the connection broke, or nothing came in time.
+    /// The caller received no complete answer: the connection broke or the call timed out.
     Lost,
-    /// Another call's answer, or part of one.
+    /// The caller received another call's answer or an incomplete answer.
     Wrong,
 }
 
-/// One finished call.
+/// A finished call.
 #[derive(Debug, Clone)]
-pub struct Finished {
-    /// Its key.
+pub struct FinishedCall {
+    /// Key of the call in the run records.
     pub key: String,
-    /// Its kind.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// What its caller saw.
-    pub seen: Seen,
-    /// The reason its caller was told, if any.
+    /// Outcome that the caller observed.
+    pub outcome: ObservedOutcome,
+    /// Reason given to the caller; empty if none was given.
     pub reason: String,
-    /// Its planned instant, in µs from the start.
+    /// Planned instant in µs since the start of the run.
     pub planned_us: u64,
-    /// From its planned instant to its end, in µs.
+    /// Time from the planned instant to the end of the call in µs.
     pub latency_us: u64,
 }
 
-/// One call to make.
+/// A call to make.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
-    /// Where to.
+    /// URI that the call is sent to.
     pub uri: Uri,
-    /// Its kind.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// Its key.
+    /// Key of the call in the run records.
     pub key: String,
-    /// Length of the answer to ask for.
+    /// Requested length of the answer body; `None` requests an echo of the request body.
     pub answer_bytes: Option<u64>,
-    /// Services that the target calls on, separated by commas.
+    /// Services that the target calls next, separated by commas.
     pub chain: String,
 }
 
 impl CallRequest {
-    /// A call without anything special.
+    /// Creates a call without a requested answer length or a chain.
     pub fn new(uri: Uri, kind: CallKind, key: &str) -> Self {
         Self { uri, kind, key: key.to_owned(), answer_bytes: None, chain: String::new() }
     }
 }
 
-/// Counts over finished calls.
+/// Number of finished calls by outcome, and of violated guarantees.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct Totals {
-    /// Calls made.
+    /// Calls made by callers.
     pub calls: u64,
-    /// Answered in full.
+    /// Calls answered in full.
     pub answered: u64,
-    /// Answered with a target's error.
+    /// Calls answered with an error.
     pub failed: u64,
-    /// Told *not run*.
+    /// Calls that ended as *not run*.
     pub not_run: u64,
-    /// Told *unknown*.
+    /// Calls that ended as *unknown*.
     pub unknown: u64,
-    /// Without an answer.
+    /// Calls without a complete answer.
     pub lost: u64,
-    /// With a wrong or partial answer.
+    /// Calls with a wrong or incomplete answer.
     pub wrong: u64,
-    /// Told *not run* though a target ran it.
+    /// Calls reported as *not run* although a target executed them.
     pub not_run_but_ran: u64,
-    /// Not repeatable, yet run more than once.
+    /// Calls that must not be repeated but ran more than once.
     pub ran_twice: u64,
 }
 
 impl Totals {
-    /// Counts `calls` and holds them against `records`.
-    pub fn count(calls: &[Finished], records: &Records) -> Self {
+    /// Counts the outcomes of `calls` and compares them with the run records.
+    pub fn count(calls: &[FinishedCall], records: &RunRecords) -> Self {
         let mut totals = Self { calls: calls.len() as u64, ..Self::default() };
         for call in calls {
-            match call.seen {
-                Seen::Answered => totals.answered += 1,
-                Seen::Failed => totals.failed += 1,
-                Seen::NotRun => totals.not_run += 1,
-                Seen::Unknown => totals.unknown += 1,
-                Seen::Lost => totals.lost += 1,
-                Seen::Wrong => totals.wrong += 1,
+            match call.outcome {
+                ObservedOutcome::Answered => totals.answered += 1,
+                ObservedOutcome::Failed => totals.failed += 1,
+                ObservedOutcome::NotRun => totals.not_run += 1,
+                ObservedOutcome::Unknown => totals.unknown += 1,
+                ObservedOutcome::Lost => totals.lost += 1,
+                ObservedOutcome::Wrong => totals.wrong += 1,
             }
             let runs = records.runs(&call.key);
-            totals.not_run_but_ran += u64::from(call.seen == Seen::NotRun && runs > 0);
+            totals.not_run_but_ran += u64::from(call.outcome == ObservedOutcome::NotRun && runs > 0);
             totals.ran_twice += u64::from(call.kind == CallKind::Write && runs > 1);
         }
         totals
     }
 
-    /// Whether a promise was broken.
-    pub fn is_broken(&self) -> bool {
+    /// Returns whether any guarantee was violated.
+    pub fn violates_guarantees(&self) -> bool {
         self.wrong + self.not_run_but_ran + self.ran_twice > 0
     }
 }
 
-/// Latencies of calls answered in full.
-pub fn latency_of<'a>(calls: impl IntoIterator<Item = &'a Finished>) -> Latency {
-    let mut latency = Latency::new();
-    for call in calls.into_iter().filter(|call| call.seen == Seen::Answered) {
+/// Returns the latencies of the calls that were answered in full.
+pub fn answered_latency<'a>(calls: impl IntoIterator<Item = &'a FinishedCall>) -> LatencyHistogram {
+    let mut latency = LatencyHistogram::new();
+    for call in calls.into_iter().filter(|call| call.outcome == ObservedOutcome::Answered) {
         latency.add_us(call.latency_us);
     }
     latency
 }
 
-/// The entries that callers use.
+/// Addresses of the entry nodes that callers use.
 #[derive(Debug, Default)]
-pub struct Entries {
-    open: RwLock<Vec<SocketAddr>>,
+pub struct EntryAddresses {
+    addresses: RwLock<Vec<SocketAddr>>,
 }
 
-impl Entries {
-    /// These addresses.
-    pub fn new(open: Vec<SocketAddr>) -> Arc<Self> {
-        Arc::new(Self { open: RwLock::new(open) })
+impl EntryAddresses {
+    /// Creates a list of these addresses.
+    pub fn new(addresses: Vec<SocketAddr>) -> Arc<Self> {
+        Arc::new(Self { addresses: RwLock::new(addresses) })
     }
 
-    /// Callers use this one no more.
-    pub fn close(&self, address: SocketAddr) {
-        self.open.write().unwrap_or_else(PoisonError::into_inner).retain(|other| *other != address);
+    /// Removes an address, so that callers stop using it.
+    pub fn remove(&self, address: SocketAddr) {
+        self.addresses.write().unwrap_or_else(PoisonError::into_inner).retain(|other| *other != address);
     }
 
-    /// Callers use this one again.
-    pub fn open(&self, address: SocketAddr) {
-        self.open.write().unwrap_or_else(PoisonError::into_inner).push(address);
+    /// Adds an address, so that callers use it again.
+    pub fn add(&self, address: SocketAddr) {
+        self.addresses.write().unwrap_or_else(PoisonError::into_inner).push(address);
     }
 
-    fn pick(&self, rng: &mut SmallRng) -> Option<SocketAddr> {
-        let open = self.open.read().unwrap_or_else(PoisonError::into_inner);
-        (!open.is_empty()).then(|| open[rng.random_range(0..open.len())])
+    fn choose(&self, rng: &mut SmallRng) -> Option<SocketAddr> {
+        let addresses = self.addresses.read().unwrap_or_else(PoisonError::into_inner);
+        (!addresses.is_empty()).then(|| addresses[rng.random_range(0..addresses.len())])
     }
 }
 
@@ -210,23 +210,23 @@
 #[derive(Debug)]
 pub struct Callers {
     client: Client<HttpConnector, Full<Bytes>>,
-    entries: Arc<Entries>,
-    finished: Mutex<Vec<Finished>>,
-    is_over: AtomicBool,
+    entries: Arc<EntryAddresses>,
+    finished: Mutex<Vec<FinishedCall>>,
+    is_finished: AtomicBool,
 }
 
 impl Callers {
-    /// Callers that use `entries`.
-    pub fn new(entries: Arc<Entries>) -> Arc<Self> {
+    /// Creates callers that send their calls to `entries`.
+    pub fn new(entries: Arc<EntryAddresses>) -> Arc<Self> {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(2_000).build(connector);
-        Arc::new(Self { client, entries, finished: Mutex::default(), is_over: AtomicBool::new(false) })
+        Arc::new(Self { client, entries, finished: Mutex::default(), is_finished: AtomicBool::new(false) })
     }
 
-    /// Makes calls at planned instants, whether or not earlier ones have ended.
+    /// Makes calls at planned instants, whether or not earlier calls have ended.
     ///
-    /// Each latency counts from the planned instant, so a late caller hides nothing.
+    /// Latency counts from the planned instant, so it includes delays of the caller itself.
     pub async fn run(self: &Arc<Self>, plan: &CallPlan) {
         let mut rng = SmallRng::seed_from_u64(plan.seed);
         let start = StdInstant::now();
@@ -235,13 +235,13 @@
         let mut running = JoinSet::new();
         let chain = plan.chain.join(",");
         loop {
-            let gap_s = -(1.0 - rng.random::<f64>()).ln() / plan.rate_per_s;
-            at += StdDuration::from_secs_f64(gap_s);
+            let interval_s = -(1.0 - rng.random::<f64>()).ln() / plan.rate_per_s;
+            at += StdDuration::from_secs_f64(interval_s);
             if at >= plan.length {
                 break;
             }
             wait_until(start + at).await;
-            let Some(entry) = self.entries.pick(&mut rng) else { continue };
+            let Some(entry) = self.entries.choose(&mut rng) else { continue };
             let service = &plan.services[rng.random_range(0..plan.services.len())];
             let kind = if rng.random_bool(plan.write_share) { CallKind::Write } else { CallKind::Read };
             let key = format!("{}-{number}", plan.seed);
@@ -252,21 +252,21 @@
             let plan_start = plan.start;
             running.spawn(async move {
                 let planned = start + at;
-                let (seen, reason) = this.call_with_reason(&request).await;
+                let (outcome, reason) = this.call_with_reason(&request).await;
                 let latency_us = planned.elapsed().as_micros() as u64;
                 let planned_us = (plan_start + at).as_micros() as u64;
-                this.finished().push(Finished { key, kind, seen, reason, planned_us, latency_us });
+                this.finished().push(FinishedCall { key, kind, outcome, reason, planned_us, latency_us });
             });
             while running.try_join_next().is_some() {}
         }
         while running.join_next().await.is_some() {}
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_finished.store(true, Ordering::Relaxed);
     }
 
-    /// Makes pings one after the other, in turn through the system and straight to a target.
+    /// Makes pings one after the other, alternating between an entry node and a direct connection to a target.
     ///
-    /// Ends when the calls of `others` do. Gives the latencies of both, from sending to the end of
-    /// the answer.
+    /// Returns when the calls of `others` have ended, with the latencies through the entry node and of the direct
+    /// connection, each from sending to the end of the answer.
     pub async fn ping(
         &self,
         service: &str,
@@ -274,36 +274,36 @@
         pause: StdDuration,
         seed: u64,
         others: &Self,
-    ) -> (Latency, Latency) {
+    ) -> (LatencyHistogram, LatencyHistogram) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (mut through, mut direct) = (Latency::new(), Latency::new());
-        while !others.is_over.load(Ordering::Relaxed) {
+        let (mut via_entry, mut direct) = (LatencyHistogram::new(), LatencyHistogram::new());
+        while !others.is_finished.load(Ordering::Relaxed) {
             sleep(pause).await;
-            let Some(entry) = self.entries.pick(&mut rng) else { continue };
+            let Some(entry) = self.entries.choose(&mut rng) else { continue };
             let target = targets[rng.random_range(0..targets.len())];
-            for (address, latency) in [(entry, &mut through), (target, &mut direct)] {
+            for (address, latency) in [(entry, &mut via_entry), (target, &mut direct)] {
                 let started = StdInstant::now();
                 let request = CallRequest::new(uri(address, service), CallKind::Ping, "ping");
-                let seen = self.call(&request).await;
-                if seen == Seen::Answered {
+                let outcome = self.call(&request).await;
+                if outcome == ObservedOutcome::Answered {
                     latency.add_us(started.elapsed().as_micros() as u64);
                 }
             }
         }
-        (through, direct)
+        (via_entry, direct)
     }
 
-    /// What ended so far.
-    pub fn finished(&self) -> MutexGuard<'_, Vec<Finished>> {
+    /// Returns the calls that have ended so far.
+    pub fn finished(&self) -> MutexGuard<'_, Vec<FinishedCall>> {
         self.finished.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes one call and checks its answer.
-    pub async fn call(&self, call: &CallRequest) -> Seen {
+    /// Makes one call and verifies its answer.
+    pub async fn call(&self, call: &CallRequest) -> ObservedOutcome {
         self.call_with_reason(call).await.0
     }
 
-    async fn call_with_reason(&self, call: &CallRequest) -> (Seen, String) {
+    async fn call_with_reason(&self, call: &CallRequest) -> (ObservedOutcome, String) {
         let is_write = call.kind == CallKind::Write;
         let body = if is_write { Bytes::from(format!("body of {}", call.key)) } else { Bytes::new() };
         let mut request = Request::new(Full::new(body.clone()));
@@ -311,63 +311,73 @@
         *request.uri_mut() = call.uri.clone();
         let headers = request.headers_mut();
         headers.insert(HOST, HeaderValue::from_static(CALLER_HOST));
-        headers.insert(KEY, HeaderValue::from_str(&call.key).expect("keys are plain"));
+        headers.insert(KEY_HEADER, HeaderValue::from_str(&call.key).expect("keys are valid header values"));
         if call.kind == CallKind::Ping {
-            headers.insert(NO_WORK, HeaderValue::from_static("1"));
+            headers.insert(NO_WORK_HEADER, HeaderValue::from_static("1"));
         }
         if let Some(bytes) = call.answer_bytes {
-            headers.insert(ANSWER_BYTES, HeaderValue::from(bytes));
+            headers.insert(ANSWER_BYTES_HEADER, HeaderValue::from(bytes));
         }
         if !call.chain.is_empty() {
-            headers.insert(CHAIN, HeaderValue::from_str(&call.chain).expect("names are plain"));
+            headers.insert(
+                CHAIN_HEADER,
+                HeaderValue::from_str(&call.chain).expect("service names are valid header values"),
+            );
         }
-        let called =
-            timeout(CALL_TIMEOUT, self.read_answer(request, &call.key, &body, call.answer_bytes)).await;
-        called.unwrap_or((Seen::Lost, "no answer in time".to_owned()))
+        let result =
+            timeout(CALL_TIMEOUT, self.send_and_verify(request, &call.key, &body, call.answer_bytes)).await;
+        result.unwrap_or((ObservedOutcome::Lost, "no answer in time".to_owned()))
     }
 
-    async fn read_answer(
+    async fn send_and_verify(
         &self,
         request: Request<Full<Bytes>>,
         key: &str,
         body: &Bytes,
         bytes: Option<u64>,
-    ) -> (Seen, String) {
+    ) -> (ObservedOutcome, String) {
         let response = match self.client.request(request).await {
             Ok(response) => response,
-            Err(error) => return (Seen::Lost, error.to_string()),
+            Err(error) => return (ObservedOutcome::Lost, error.to_string()),
         };
         let (parts, answer) = response.into_parts();
         let reason =
             parts.headers.get(REASON).and_then(|reason| reason.to_str().ok()).unwrap_or_default().to_owned();
-        let outcome = parts.headers.get(OUTCOME).map(HeaderValue::as_bytes);
-        match outcome {
-            Some(b"not-run") => return (Seen::NotRun, reason),
-            Some(b"unknown") => return (Seen::Unknown, reason),
+        let outcome_header = parts.headers.get(OUTCOME).map(HeaderValue::as_bytes);
+        match outcome_header {
+            Some(b"not-run") => return (ObservedOutcome::NotRun, reason),
+            Some(b"unknown") => return (ObservedOutcome::Unknown, reason),
             _ => {}
         }
         if parts.status != StatusCode::OK {
-            return (Seen::Failed, parts.status.to_string());
+            return (ObservedOutcome::Failed, parts.status.to_string());
         }
-        let is_own = parts.headers.get(KEY).is_some_and(|own| own.as_bytes() == key.as_bytes());
-        // A body that breaks off is a clear error, not a wrong answer.
-        let Ok(answer) = answer.collect().await else { return (Seen::Lost, "broke off".to_owned()) };
+        let has_own_key =
+            parts.headers.get(KEY_HEADER).is_some_and(|value| value.as_bytes() == key.as_bytes());
+        // A body that ends early is an explicit error, not a wrong answer.
+        let Ok(answer) = answer.collect().await else {
+            return (ObservedOutcome::Lost, "broke off".to_owned());
+        };
         let answer = answer.to_bytes();
-        let is_whole = match bytes {
+        let is_complete = match bytes {
             Some(bytes) => {
                 let is_pattern = |(at, byte): (usize, &u8)| *byte == pattern_byte(at as u64);
                 answer.len() as u64 == bytes && answer.iter().enumerate().all(is_pattern)
             }
             None => answer == *body,
         };
-        if is_own && is_whole { (Seen::Answered, reason) } else { (Seen::Wrong, reason) }
+        if has_own_key && is_complete {
+            (ObservedOutcome::Answered, reason)
+        } else {
+            (ObservedOutcome::Wrong, reason)
+        }
     }
 }
 
 async fn wait_until(at: StdInstant) {
     let left = at.saturating_duration_since(StdInstant::now());
-    if left > SPIN {
-        let until = Instant::now() + left - SPIN;
+    if left > SPIN_WINDOW {
+        let until = Instant::now() + left - SPIN_WINDOW;
         tokio::time::sleep_until(until).await;
     }
     while StdInstant::now() < at {
--- a/crates/laurelstall_standin/src/cuts.rs
+++ b/crates/laurelstall_standin/src/cuts.rs
@@ -1,4 +1,4 @@
-//! Cuts of the network between data centres, behind the border that nodes connect over.
+//! Simulates network partitions between data centres, behind the [`Link`] that nodes connect over.
 
 use laurelstall_peer::link::Link;
 use std::{
@@ -10,56 +10,56 @@
     },
 };
 
-/// Which data centres are cut off from the others.
+/// The data centres that are partitioned from the others.
 #[derive(Debug, Default)]
-pub struct Cuts {
+pub struct Partitions {
     data_centre_of: RwLock<HashMap<SocketAddr, String>>,
-    cut: RwLock<HashSet<String>>,
-    platform: RwLock<HashMap<String, Arc<AtomicBool>>>,
+    partitioned: RwLock<HashSet<String>>,
+    platform_flags: RwLock<HashMap<String, Arc<AtomicBool>>>,
 }
 
-impl Cuts {
-    /// Cuts a data centre off from the others and from the platform, or brings it back.
-    pub fn set_cut(&self, data_centre: &str, is_cut: bool) {
-        let mut cut = self.cut.write().unwrap_or_else(PoisonError::into_inner);
-        if is_cut {
-            cut.insert(data_centre.to_owned());
+impl Partitions {
+    /// Partitions a data centre from the others and from the platform, or ends the partition.
+    pub fn set_partitioned(&self, data_centre: &str, is_partitioned: bool) {
+        let mut partitioned = self.partitioned.write().unwrap_or_else(PoisonError::into_inner);
+        if is_partitioned {
+            partitioned.insert(data_centre.to_owned());
         } else {
-            cut.remove(data_centre);
+            partitioned.remove(data_centre);
         }
-        self.platform_flag(data_centre).store(is_cut, Ordering::Relaxed);
+        self.platform_partition_flag(data_centre).store(is_partitioned, Ordering::Relaxed);
     }
 
-    /// The flag that cuts a data centre's way to the platform.
-    pub fn platform_flag(&self, data_centre: &str) -> Arc<AtomicBool> {
-        let mut flags = self.platform.write().unwrap_or_else(PoisonError::into_inner);
+    /// Returns the flag that is set while a data centre is partitioned from the platform.
+    pub fn platform_partition_flag(&self, data_centre: &str) -> Arc<AtomicBool> {
+        let mut flags = self.platform_flags.write().unwrap_or_else(PoisonError::into_inner);
         flags.entry(data_centre.to_owned()).or_default().clone()
     }
 
-    /// Notes where a node stands.
-    pub fn place(&self, address: SocketAddr, data_centre: &str) {
-        let mut places = self.data_centre_of.write().unwrap_or_else(PoisonError::into_inner);
-        places.insert(address, data_centre.to_owned());
+    /// Registers the data centre of the node with this peer address.
+    pub fn set_data_centre(&self, address: SocketAddr, data_centre: &str) {
+        let mut data_centres = self.data_centre_of.write().unwrap_or_else(PoisonError::into_inner);
+        data_centres.insert(address, data_centre.to_owned());
     }
 }
 
-/// The network as one host sees it.
+/// The network links of one host.
 #[derive(Debug)]
 pub struct HostLink {
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: String,
-    /// What is cut.
-    pub cuts: Arc<Cuts>,
+    /// The active network partitions.
+    pub partitions: Arc<Partitions>,
 }
 
 impl Link for HostLink {
     fn is_cut(&self, other: SocketAddr) -> bool {
-        let cut = self.cuts.cut.read().unwrap_or_else(PoisonError::into_inner);
-        if cut.is_empty() {
+        let partitioned = self.partitions.partitioned.read().unwrap_or_else(PoisonError::into_inner);
+        if partitioned.is_empty() {
             return false;
         }
-        let places = self.cuts.data_centre_of.read().unwrap_or_else(PoisonError::into_inner);
-        let Some(other) = places.get(&other) else { return false };
-        *other != self.data_centre && (cut.contains(&self.data_centre) || cut.contains(other))
+        let data_centres = self.partitions.data_centre_of.read().unwrap_or_else(PoisonError::into_inner);
+        let Some(other) = data_centres.get(&other) else { return false };
+        *other != self.data_centre && (partitioned.contains(&self.data_centre) || partitioned.contains(other))
     }
 }
--- a/crates/laurelstall_standin/src/experiment.rs
+++ b/crates/laurelstall_standin/src/experiment.rs
@@ -1,13 +1,13 @@
-//! One scenario under one balancer, and what came of it.
+//! Runs one scenario under one balancer and summarises the measurements.
 
 use crate::{
-    callers::{CallPlan, Callers, Entries, Finished, Seen, Totals, latency_of},
+    callers::{CallPlan, Callers, EntryAddresses, FinishedCall, ObservedOutcome, Totals, answered_latency},
     fault::FaultContext,
     harness::Harness,
-    harness_plan::{ChooserMaker, HarnessPlan, ServicePlan},
-    latency::Latency,
+    harness_plan::{HarnessPlan, MakeChooserFactory, ServicePlan},
+    latency::LatencyHistogram,
     process::{cpu_s, threads_cpu_s},
-    scenario::{Noise, Scenario},
+    scenario::{NoisyNeighbours, Scenario},
     target::Targets,
     threads::RuntimeThread,
 };
@@ -25,36 +25,36 @@
     time::{Duration, sleep},
 };
 
-/// Length of one window of the report in ms.
+/// Length of one time window of the report in ms.
 pub const WINDOW_MS: u64 = 250;
-/// Pause between two looks at what was spent on observing, in ms.
-const SAMPLE_MS: u64 = 100;
-/// Threads that make calls.
+/// Interval in ms between two samples of the bytes spent on observation.
+const SAMPLE_INTERVAL_MS: u64 = 100;
+/// Number of threads that make calls.
 const CALLER_THREADS: usize = 3;
 
-/// The ways to balance that can be measured.
+/// The load balancers that can be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Balancer {
-    /// The product's own.
+    /// Laurelstall's own balancer.
     Laurelstall,
-    /// Any target.
+    /// Chooses a target at random.
     Random,
-    /// One after the other.
+    /// Chooses the targets in turn.
     RoundRobin,
-    /// Least loaded by a delayed report.
+    /// Chooses the least loaded target by a delayed load report.
     LeastStale,
-    /// Better of two by own calls in flight.
+    /// Chooses, of two random targets, the one with fewer own calls in flight.
     TwoChoices,
-    /// Best by true load and speed.
+    /// Chooses the best target by its actual load and speed.
     Oracle,
 }
 
 impl Balancer {
-    /// All, the product's own first.
+    /// All balancers, Laurelstall's own first.
     pub const ALL: [Self; 6] =
         [Self::Laurelstall, Self::Random, Self::RoundRobin, Self::LeastStale, Self::TwoChoices, Self::Oracle];
 
-    /// Its name.
+    /// Returns the balancer's name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Laurelstall => "laurelstall",
@@ -66,12 +66,12 @@
         }
     }
 
-    /// The one of this name.
+    /// Returns the balancer with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|balancer| balancer.name() == name)
     }
 
-    fn maker(self) -> Option<ChooserMaker> {
+    fn make_chooser_factory(self) -> Option<MakeChooserFactory> {
         if self == Self::Laurelstall {
             return None;
         }
@@ -91,20 +91,20 @@
     }
 }
 
-/// Changes to the defaults for one measurement.
+/// Options of one run that differ from the scenario's defaults.
 #[derive(Debug, Clone, Copy)]
-pub struct Tuning {
-    /// Observing budget in percent of the default.
+pub struct RunOptions {
+    /// Observation budget in percent of the default.
     pub observe_percent: u64,
-    /// Limits of each service.
+    /// Limits that apply to each service.
     pub limits: ServiceLimits,
-    /// Hedge after so many ms; not at all when absent.
+    /// Delay in ms before a repeatable call is hedged; `None` disables hedging.
     pub hedge_after_ms: Option<u64>,
-    /// Whether decisions are logged.
+    /// Whether nodes write the decision log.
     pub has_decision_log: bool,
 }
 
-impl Default for Tuning {
+impl Default for RunOptions {
     fn default() -> Self {
         Self {
             observe_percent: 100,
@@ -115,66 +115,66 @@
     }
 }
 
-/// What happened in one window of time.
+/// The calls that were planned in one time window.
 #[derive(Debug, Clone, Serialize)]
 pub struct Window {
-    /// Its start in ms.
+    /// Start of the window in ms since the start of the run.
     pub from_ms: u64,
-    /// 99th percentile of answered calls planned in it, in ms.
+    /// 99th percentile of the latency of answered calls, in ms.
     pub p99_ms: f64,
-    /// Calls answered.
+    /// Number of calls answered in full.
     pub answered: u64,
-    /// Calls answered with an error, unknown or lost.
+    /// Number of calls that ended with an error, with an unknown outcome, without an answer or with a wrong one.
     pub failed: u64,
-    /// Calls told *not run*.
+    /// Number of calls that ended as *not run*.
     pub not_run: u64,
 }
 
-/// The result of one scenario under one balancer.
+/// The measurements of one scenario under one balancer.
 #[derive(Debug, Clone, Serialize)]
 pub struct BalancerResult {
-    /// Median latency in ms.
+    /// Median latency of answered calls in ms.
     pub p50_ms: f64,
-    /// 99th percentile in ms.
+    /// 99th percentile of the latency in ms.
     pub p99_ms: f64,
-    /// 99.9th percentile in ms.
+    /// 99.9th percentile of the latency in ms.
     pub p999_ms: f64,
-    /// Calls answered a second.
+    /// Answered calls per second.
     pub goodput_per_s: f64,
-    /// Calls a second that all targets could do undisturbed.
+    /// Calls per second that all targets can serve without faults.
     pub capacity_per_s: f64,
-    /// Counts.
+    /// Number of calls by outcome.
     #[serde(flatten)]
     pub totals: Totals,
-    /// 99th percentile of the time to a refusal, in ms.
+    /// 99th percentile of the time until a call ended as *not run*, in ms.
     pub refused_p99_ms: f64,
-    /// Most bytes a node spent on observing in any second.
+    /// Most bytes that any node spent on observation within one second.
     pub observe_bytes_per_s_max: u64,
-    /// What it may spend.
+    /// Bytes per second that a node may spend on observation.
     pub observe_budget_bytes_per_s: u64,
-    /// Bytes a second a node spent on observing on average.
+    /// Mean bytes per second that a node spent on observation.
     pub observe_bytes_per_s_mean: f64,
-    /// Probes sent by all nodes.
+    /// Number of probes that all nodes sent.
     pub probes: u64,
-    /// Calls handed back.
+    /// Number of calls that guards handed back to their entry nodes.
     pub hand_backs: u64,
-    /// Further attempts.
+    /// Number of retries.
     pub retries: u64,
-    /// Hedges.
+    /// Number of hedged attempts.
     pub hedges: u64,
-    /// Attempts for each call.
+    /// Mean number of attempts per call.
     pub attempts_per_call: f64,
-    /// Processor time of the whole process for each call in µs, stand-ins included.
+    /// CPU time per call of the whole process in µs, stand-ins included.
     pub cpu_us_per_call: f64,
-    /// Processor time of all nodes for each call in µs: entry and guard together.
+    /// CPU time per call of all nodes in µs, entry nodes and guards together.
     pub node_cpu_us_per_call: f64,
-    /// Most attempts for each call at one level of a chain; 0 without a chain.
+    /// Highest ratio of attempts to calls at any level of a call chain; 0 without a chain.
     pub attempts_per_call_max_level: f64,
-    /// Calls without an answer by outcome and reason.
+    /// Number of calls without a full answer, by outcome and reason.
     pub reasons: BTreeMap<String, u64>,
-    /// Windows of time.
+    /// The time windows of the run.
     pub windows: Vec<Window>,
-    /// The distribution, for the report.
+    /// Latency distribution for the report: latency in ms and share of calls.
     #[serde(skip)]
     pub cdf: Vec<(f64, f64)>,
 }
@@ -183,41 +183,41 @@
 ///
 /// # Errors
 ///
-/// What kept the deployment from starting.
+/// Returns an error if the deployment is unknown or fails to start.
 pub async fn run(
     scenario: &Scenario,
     balancer: Balancer,
-    tuning: Tuning,
+    options: RunOptions,
     seed: u64,
 ) -> Result<BalancerResult, String> {
-    let plan = harness_plan(scenario, balancer, tuning, seed)?;
+    let plan = harness_plan(scenario, balancer, options, seed)?;
     let budget = plan.observe.bytes_per_s;
     let services = plan.services.iter().map(|service| service.name.clone()).collect::<Vec<_>>();
-    // The last level of a chain holds what the chain can carry.
+    // Each call of a chain uses every level once, so one level's capacity bounds the call rate.
     let capacity_per_s = plan.capacity_per_s() / scenario.levels as f64;
     let harness = Arc::new(Harness::start(plan).await.map_err(|error| error.to_string())?);
     let nodes = harness.nodes();
-    let entries = Entries::new(nodes.iter().map(|(_, node)| node.entry_address).collect());
+    let entries = EntryAddresses::new(nodes.iter().map(|(_, node)| node.entry_address).collect());
     let context = FaultContext { harness: harness.clone(), entries: entries.clone() };
     let threads =
         (0..CALLER_THREADS).map(|n| RuntimeThread::start(&format!("callers-{n}"))).collect::<Vec<_>>();
     let callers = threads.iter().map(|_| Callers::new(entries.clone())).collect::<Vec<_>>();
-    let cpu_before_s = (cpu_s(), node_cpu_s());
+    let cpu_before_s = (cpu_s(), nodes_cpu_s());
     let started = StdInstant::now();
-    let mut disturbing = JoinSet::new();
-    start_faults(&mut disturbing, scenario, &context);
+    let mut disturbances = JoinSet::new();
+    start_faults(&mut disturbances, scenario, &context);
     if let Some(noise) = scenario.noise {
-        start_noise(&mut disturbing, noise, &harness, seed);
+        start_noisy_neighbours(&mut disturbances, noise, &harness, seed);
     }
-    let sampler = tokio::spawn(sample_observing(harness.clone(), scenario.seconds));
-    call(scenario, &threads, &callers, &services, capacity_per_s, seed).await;
+    let sampler = tokio::spawn(sample_observation_bytes(harness.clone(), scenario.seconds));
+    generate_load(scenario, &threads, &callers, &services, capacity_per_s, seed).await;
     let length_s = scenario.seconds as f64;
-    log::debug!("{} took {:?}", scenario.name, started.elapsed());
-    let cpu_spent_s = (cpu_s() - cpu_before_s.0, node_cpu_s() - cpu_before_s.1);
+    log::debug!("scenario {} finished after {:?}", scenario.name, started.elapsed());
+    let cpu_spent_s = (cpu_s() - cpu_before_s.0, nodes_cpu_s() - cpu_before_s.1);
     let (observe_max, observe_mean) = sampler.await.unwrap_or((0, 0.0));
-    disturbing.shutdown().await;
+    disturbances.shutdown().await;
     let finished = callers.iter().flat_map(|callers| callers.finished().clone()).collect::<Vec<_>>();
-    Ok(summarise(Measured {
+    Ok(summarise(Measurement {
         scenario,
         harness: &harness,
         finished: &finished,
@@ -230,16 +230,16 @@
     }))
 }
 
-fn node_cpu_s() -> f64 {
+fn nodes_cpu_s() -> f64 {
     threads_cpu_s(|name| {
         !name.starts_with("targets") && !name.starts_with("callers") && !name.starts_with("laurelstall")
     })
 }
 
-struct Measured<'a> {
+struct Measurement<'a> {
     scenario: &'a Scenario,
     harness: &'a Harness,
-    finished: &'a [Finished],
+    finished: &'a [FinishedCall],
     capacity_per_s: f64,
     length_s: f64,
     cpu_spent_s: (f64, f64),
@@ -248,100 +248,108 @@
     budget: u64,
 }
 
-fn summarise(measured: Measured<'_>) -> BalancerResult {
-    let finished = measured.finished;
-    let totals = Totals::count(finished, &measured.harness.records);
-    let latency = latency_of(finished);
-    let mut refused = Latency::new();
-    for call in finished.iter().filter(|call| call.seen == Seen::NotRun) {
+fn summarise(measurement: Measurement<'_>) -> BalancerResult {
+    let finished = measurement.finished;
+    let totals = Totals::count(finished, &measurement.harness.records);
+    let latency = answered_latency(finished);
+    let mut refused = LatencyHistogram::new();
+    for call in finished.iter().filter(|call| call.outcome == ObservedOutcome::NotRun) {
         refused.add_us(call.latency_us);
     }
-    let counted = |name: &str| measured.harness.count(name);
+    let counter = |name: &str| measurement.harness.counter_total(name);
     let calls = totals.calls.max(1) as f64;
     BalancerResult {
         p50_ms: latency.percentile_ms(50.0),
         p99_ms: latency.percentile_ms(99.0),
         p999_ms: latency.percentile_ms(99.9),
-        goodput_per_s: totals.answered as f64 / measured.length_s,
-        capacity_per_s: measured.capacity_per_s,
+        goodput_per_s: totals.answered as f64 / measurement.length_s,
+        capacity_per_s: measurement.capacity_per_s,
         refused_p99_ms: refused.percentile_ms(99.0),
-        observe_bytes_per_s_max: measured.observe_max,
-        observe_budget_bytes_per_s: measured.budget,
-        observe_bytes_per_s_mean: measured.observe_mean,
-        probes: counted("probes"),
-        hand_backs: counted("hand_backs"),
-        retries: counted("retries"),
-        hedges: counted("hedges"),
-        attempts_per_call: counted("attempts") as f64 / counted("calls").max(1) as f64,
-        cpu_us_per_call: measured.cpu_spent_s.0 * 1e6 / calls,
-        node_cpu_us_per_call: measured.cpu_spent_s.1 * 1e6 / calls,
-        attempts_per_call_max_level: measured
+        observe_bytes_per_s_max: measurement.observe_max,
+        observe_budget_bytes_per_s: measurement.budget,
+        observe_bytes_per_s_mean: measurement.observe_mean,
+        probes: counter("probes"),
+        hand_backs: counter("hand_backs"),
+        retries: counter("retries"),
+        hedges: counter("hedges"),
+        attempts_per_call: counter("attempts") as f64 / counter("calls").max(1) as f64,
+        cpu_us_per_call: measurement.cpu_spent_s.0 * 1e6 / calls,
+        node_cpu_us_per_call: measurement.cpu_spent_s.1 * 1e6 / calls,
+        attempts_per_call_max_level: measurement
             .harness
-            .attempts_per_call_max_level(measured.scenario.levels, totals.calls),
+            .attempts_per_call_max_level(measurement.scenario.levels, totals.calls),
         reasons: reasons(finished),
-        windows: windows(finished, measured.scenario.seconds),
+        windows: windows(finished, measurement.scenario.seconds),
         cdf: latency.cdf(),
         totals,
     }
 }
 
-fn reasons(finished: &[Finished]) -> BTreeMap<String, u64> {
+fn reasons(finished: &[FinishedCall]) -> BTreeMap<String, u64> {
     let mut reasons = BTreeMap::new();
-    for call in finished.iter().filter(|call| call.seen != Seen::Answered) {
-        *reasons.entry(format!("{:?}: {}", call.seen, call.reason)).or_default() += 1;
+    for call in finished.iter().filter(|call| call.outcome != ObservedOutcome::Answered) {
+        *reasons.entry(format!("{:?}: {}", call.outcome, call.reason)).or_default() += 1;
     }
     reasons
 }
 
-fn windows(finished: &[Finished], seconds: u64) -> Vec<Window> {
-    let of = |index: u64| {
+fn windows(finished: &[FinishedCall], seconds: u64) -> Vec<Window> {
+    let window = |index: u64| {
         let from_ms = index * WINDOW_MS;
-        let is_in = |call: &&Finished| (from_ms..from_ms + WINDOW_MS).contains(&(call.planned_us / 1_000));
+        let is_in =
+            |call: &&FinishedCall| (from_ms..from_ms + WINDOW_MS).contains(&(call.planned_us / 1_000));
         let calls = finished.iter().filter(is_in).collect::<Vec<_>>();
-        let count = |seen: &[Seen]| calls.iter().filter(|call| seen.contains(&call.seen)).count() as u64;
+        let count = |outcomes: &[ObservedOutcome]| {
+            calls.iter().filter(|call| outcomes.contains(&call.outcome)).count() as u64
+        };
         Window {
             from_ms,
-            p99_ms: latency_of(calls.iter().copied()).percentile_ms(99.0),
-            answered: count(&[Seen::Answered]),
-            failed: count(&[Seen::Failed, Seen::Unknown, Seen::Lost, Seen::Wrong]),
-            not_run: count(&[Seen::NotRun]),
+            p99_ms: answered_latency(calls.iter().copied()).percentile_ms(99.0),
+            answered: count(&[ObservedOutcome::Answered]),
+            failed: count(&[
+                ObservedOutcome::Failed,
+                ObservedOutcome::Unknown,
+                ObservedOutcome::Lost,
+                ObservedOutcome::Wrong,
+            ]),
+            not_run: count(&[ObservedOutcome::NotRun]),
         }
     };
-    (0..seconds * 1_000 / WINDOW_MS).map(of).collect()
+    (0..seconds * 1_000 / WINDOW_MS).map(window).collect()
 }
 
 fn harness_plan(
     scenario: &Scenario,
     balancer: Balancer,
-    tuning: Tuning,
+    options: RunOptions,
     seed: u64,
 ) -> Result<HarnessPlan, String> {
     let plan = HarnessPlan::deployment(&scenario.deployment, scenario.services, scenario.service_mean_ms);
-    let mut plan = plan.ok_or("no such deployment")?;
+    let mut plan = plan.ok_or("unknown deployment")?;
     if scenario.levels > 1 {
         let first = plan.services[0].clone();
         let level = |number| ServicePlan { name: format!("level-{number}"), targets: 2, ..first.clone() };
         plan.services = (1..=scenario.levels).map(level).collect();
     }
     for service in &mut plan.services {
-        service.limits = tuning.limits;
+        service.limits = options.limits;
     }
-    if let Some(hedge_after_ms) = tuning.hedge_after_ms {
+    if let Some(hedge_after_ms) = options.hedge_after_ms {
         plan.program = format!(
             "let parts = path.split(\"/\");\nif method == \"GET\" {{ #{{ service: parts[1], repeat: true, \
              hedge_after_ms: {hedge_after_ms} }} }} else {{ #{{ service: parts[1] }} }}"
         );
     }
-    plan.observe.bytes_per_s = plan.observe.bytes_per_s * tuning.observe_percent / 100;
-    plan.observe.probes_per_s = plan.observe.probes_per_s * tuning.observe_percent / 100;
-    plan.chooser = balancer.maker();
-    plan.is_plain = balancer != Balancer::Laurelstall;
-    plan.decisions = if tuning.has_decision_log { DecisionFormat::Human } else { DecisionFormat::Off };
+    plan.observe.bytes_per_s = plan.observe.bytes_per_s * options.observe_percent / 100;
+    plan.observe.probes_per_s = plan.observe.probes_per_s * options.observe_percent / 100;
+    plan.chooser = balancer.make_chooser_factory();
+    plan.is_baseline = balancer != Balancer::Laurelstall;
+    plan.decisions = if options.has_decision_log { DecisionFormat::Human } else { DecisionFormat::Off };
     plan.seed = seed;
     Ok(plan)
 }
 
-async fn call(
+async fn generate_load(
     scenario: &Scenario,
     threads: &[RuntimeThread],
     callers: &[Arc<Callers>],
@@ -349,12 +357,12 @@
     capacity_per_s: f64,
     seed: u64,
 ) {
-    let first_level = if scenario.levels > 1 { &services[..1] } else { services };
+    let called_services = if scenario.levels > 1 { &services[..1] } else { services };
     let mut running = Vec::new();
-    for (start_ms, length_ms, load_percent) in scenario.stretches() {
+    for (start_ms, length_ms, load_percent) in scenario.load_intervals() {
         for (number, (thread, callers)) in threads.iter().zip(callers).enumerate() {
             let plan = CallPlan {
-                services: first_level.to_vec(),
+                services: called_services.to_vec(),
                 rate_per_s: capacity_per_s * load_percent as f64 / 100.0 / threads.len() as f64,
                 start: std::time::Duration::from_millis(start_ms),
                 length: std::time::Duration::from_millis(length_ms),
@@ -373,68 +381,68 @@
 }
 
 fn start_faults(running: &mut JoinSet<()>, scenario: &Scenario, context: &FaultContext) {
-    for (plan, fault) in scenario.fault_objects() {
+    for (plan, fault) in scenario.create_faults() {
         let context = context.clone();
         running.spawn(async move {
             sleep(Duration::from_millis(plan.at_ms)).await;
             let started = StdInstant::now();
             fault.start(&context).await;
-            let left = Duration::from_millis(plan.for_ms).saturating_sub(started.elapsed());
-            sleep(left).await;
+            let remaining = Duration::from_millis(plan.for_ms).saturating_sub(started.elapsed());
+            sleep(remaining).await;
             fault.end(&context).await;
         });
     }
 }
 
-fn start_noise(running: &mut JoinSet<()>, noise: Noise, harness: &Harness, seed: u64) {
+fn start_noisy_neighbours(running: &mut JoinSet<()>, noise: NoisyNeighbours, harness: &Harness, seed: u64) {
     let mut targets = harness.targets.all();
     targets.sort_by(|a, b| a.name().cmp(b.name()));
     for (index, target) in targets.into_iter().enumerate() {
         let mut rng = SmallRng::seed_from_u64(seed * 31 + index as u64);
         running.spawn(async move {
             loop {
-                let quiet_ms = -(1.0 - rng.random::<f64>()).ln() * noise.every_ms as f64;
-                sleep(Duration::from_micros((quiet_ms * 1_000.0) as u64)).await;
+                let pause_ms = -(1.0 - rng.random::<f64>()).ln() * noise.every_ms as f64;
+                sleep(Duration::from_micros((pause_ms * 1_000.0) as u64)).await;
                 let factor = rng.random_range(noise.factor_min..=noise.factor_max);
                 let ratio = noise.longest_ms as f64 / noise.shortest_ms as f64;
-                let stolen_ms = noise.shortest_ms as f64 * ratio.powf(rng.random::<f64>());
-                target.change(|behaviour| behaviour.speed = 1.0 / factor);
-                sleep(Duration::from_micros((stolen_ms * 1_000.0) as u64)).await;
-                target.change(|behaviour| behaviour.speed = 1.0);
+                let slowdown_ms = noise.shortest_ms as f64 * ratio.powf(rng.random::<f64>());
+                target.update_behaviour(|behaviour| behaviour.speed = 1.0 / factor);
+                sleep(Duration::from_micros((slowdown_ms * 1_000.0) as u64)).await;
+                target.update_behaviour(|behaviour| behaviour.speed = 1.0);
             }
         });
     }
 }
 
-/// What all nodes had spent on observing between two instants.
+/// Bytes that each node had spent on observation, read between the instants `before` and `after`.
 struct Sample {
     before: StdInstant,
     after: StdInstant,
-    spent: Vec<u64>,
+    bytes: Vec<u64>,
 }
 
-/// Most bytes any node spent on observing in any second, and the mean over nodes.
+/// Returns the most bytes that any node spent on observation within one second, and the mean over all nodes.
 ///
-/// Only stretches that surely lie within one second count, from before the first reading to after
-/// the last, so a sampler that wakes up late finds nothing that was not there.
-async fn sample_observing(harness: Arc<Harness>, seconds: u64) -> (u64, f64) {
-    let samples_per_s = (1_000 / SAMPLE_MS) as usize;
+/// Compares only samples that were certainly read within one second, so a sampler that wakes up late does not report
+/// too much.
+async fn sample_observation_bytes(harness: Arc<Harness>, seconds: u64) -> (u64, f64) {
+    let samples_per_s = (1_000 / SAMPLE_INTERVAL_MS) as usize;
     let mut samples: Vec<Sample> = Vec::new();
     for _ in 0..seconds * samples_per_s as u64 {
-        sleep(Duration::from_millis(SAMPLE_MS)).await;
+        sleep(Duration::from_millis(SAMPLE_INTERVAL_MS)).await;
         let nodes = harness.nodes();
         let before = StdInstant::now();
-        let spent = nodes.iter().map(|(_, node)| node.entry.context.observer.spent().bytes).collect();
-        samples.push(Sample { before, after: StdInstant::now(), spent });
+        let bytes = nodes.iter().map(|(_, node)| node.entry.context.observer.spent().bytes).collect();
+        samples.push(Sample { before, after: StdInstant::now(), bytes });
     }
-    let mut grown = Vec::new();
+    let mut deltas = Vec::new();
     for (index, first) in samples.iter().enumerate() {
         let is_within = |last: &&Sample| last.after.duration_since(first.before) <= Duration::from_secs(1);
-        let is_same_fleet = |last: &&Sample| last.spent.len() == first.spent.len();
+        let is_same_fleet = |last: &&Sample| last.bytes.len() == first.bytes.len();
         let last = samples[index..].iter().take_while(is_within).filter(is_same_fleet).last();
-        let pairs = last.into_iter().flat_map(|last| first.spent.iter().zip(&last.spent));
-        grown.extend(pairs.map(|(from, to)| to.saturating_sub(*from)));
+        let pairs = last.into_iter().flat_map(|last| first.bytes.iter().zip(&last.bytes));
+        deltas.extend(pairs.map(|(from, to)| to.saturating_sub(*from)));
     }
-    let mean = grown.iter().sum::<u64>() as f64 / grown.len().max(1) as f64;
-    (grown.iter().max().copied().unwrap_or(0), mean)
+    let mean = deltas.iter().sum::<u64>() as f64 / deltas.len().max(1) as f64;
+    (deltas.iter().max().copied().unwrap_or(0), mean)
 }
--- a/crates/laurelstall_standin/src/fault.rs
+++ b/crates/laurelstall_standin/src/fault.rs
@@ -1,7 +1,7 @@
-//! Faults of a scenario, each behind the same trait.
+//! Injects the faults of a scenario into a running deployment.
 
 use crate::{
-    callers::Entries,
+    callers::EntryAddresses,
     fault_plan::{FaultKind, FaultPlan},
     harness::Harness,
     node_thread::NodeThread,
@@ -13,32 +13,33 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::time::{Duration, sleep};
 
-/// Steps in which a cold target gets up to speed.
-const COLD_STEPS: u64 = 10;
+/// Number of steps in which a cold target reaches full speed.
+const WARM_UP_STEPS: u64 = 10;
 
-/// How long a platform is away before it comes back from a copy, and then until what it lost is published again.
-const RETURN_PAUSE: Duration = Duration::from_millis(500);
+/// How long the platform is unavailable before it is restored from a copy, and how long after the restore the lost
+/// documents are published again.
+const RESTORE_PAUSE: Duration = Duration::from_millis(500);
 
-/// Where a fault acts.
+/// The parts of a running deployment that faults act on.
 #[derive(Debug, Clone)]
 pub struct FaultContext {
-    /// The deployment.
+    /// The running deployment.
     pub harness: Arc<Harness>,
-    /// What callers use.
-    pub entries: Arc<Entries>,
+    /// Addresses of the entry nodes that callers use.
+    pub entries: Arc<EntryAddresses>,
 }
 
-/// A fault that starts and ends.
+/// A fault that can be injected and removed.
 pub trait Fault: Send + Sync {
-    /// Starts it.
+    /// Injects the fault.
     fn start<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()>;
 
-    /// Ends it.
+    /// Removes the fault and restores normal operation.
     fn end<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()>;
 }
 
-/// The fault that a plan describes.
-pub fn fault_of(plan: &FaultPlan) -> Box<dyn Fault> {
+/// Creates the fault that `plan` describes.
+pub fn create_fault(plan: &FaultPlan) -> Box<dyn Fault> {
     match plan.kind {
         FaultKind::Slow
         | FaultKind::Pause
@@ -52,21 +53,21 @@
         }
         FaultKind::NodePause => Box::new(NodePause { target: plan.target, for_ms: plan.for_ms }),
         FaultKind::NodeKill => {
-            Box::new(NodeStop { target: plan.target, is_planned: false, old: Mutex::default() })
+            Box::new(NodeStop { target: plan.target, is_planned: false, addresses: Mutex::default() })
         }
         FaultKind::NodeDrain => {
-            Box::new(NodeStop { target: plan.target, is_planned: true, old: Mutex::default() })
+            Box::new(NodeStop { target: plan.target, is_planned: true, addresses: Mutex::default() })
         }
         FaultKind::HostLeaving => Box::new(HostLeaving { target: plan.target }),
         FaultKind::EvacuateDataCentre => Box::new(EvacuateDataCentre { number: plan.data_centre }),
-        FaultKind::CutDataCentre => Box::new(CutDataCentre { number: plan.data_centre }),
+        FaultKind::CutDataCentre => Box::new(PartitionDataCentre { number: plan.data_centre }),
         FaultKind::PlatformAway => Box::new(PlatformFault { is_stale: false }),
         FaultKind::PlatformStale => Box::new(PlatformFault { is_stale: true }),
-        FaultKind::PlatformReturn => Box::new(PlatformReturn { copy: Mutex::default() }),
+        FaultKind::PlatformReturn => Box::new(PlatformRestore { copy: Mutex::default() }),
     }
 }
 
-fn target_of(context: &FaultContext, number: usize) -> Option<Arc<StandinTarget>> {
+fn find_target(context: &FaultContext, number: usize) -> Option<Arc<StandinTarget>> {
     let host = context.harness.host_name(number)?;
     context.harness.targets.get(host.trim_end_matches("-host"))
 }
@@ -78,9 +79,9 @@
 }
 
 impl TargetFault {
-    fn set(&self, context: &FaultContext, is_on: bool) {
-        let Some(target) = target_of(context, self.target) else { return };
-        target.change(|behaviour| match self.kind {
+    fn apply(&self, context: &FaultContext, is_on: bool) {
+        let Some(target) = find_target(context, self.target) else { return };
+        target.update_behaviour(|behaviour| match self.kind {
             FaultKind::Slow => behaviour.speed = if is_on { 1.0 / self.factor } else { 1.0 },
             FaultKind::Pause => behaviour.speed = if is_on { 0.0 } else { 1.0 },
             FaultKind::FailFast => behaviour.is_failing_fast = is_on,
@@ -92,11 +93,11 @@
 
 impl Fault for TargetFault {
     fn start<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, true) }.boxed()
+        async { self.apply(context, true) }.boxed()
     }
 
     fn end<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, false) }.boxed()
+        async { self.apply(context, false) }.boxed()
     }
 }
 
@@ -109,12 +110,14 @@
 impl Fault for ColdStart {
     fn start<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
         async {
-            let Some(target) = target_of(context, self.target) else { return };
-            for step in 0..COLD_STEPS {
-                let warm = step as f64 / COLD_STEPS as f64;
-                let cold = 1.0 / self.factor;
-                target.change(|behaviour| behaviour.speed = cold + (1.0 - cold) * warm);
-                sleep(Duration::from_millis(self.for_ms / COLD_STEPS)).await;
+            let Some(target) = find_target(context, self.target) else { return };
+            for step in 0..WARM_UP_STEPS {
+                let progress = step as f64 / WARM_UP_STEPS as f64;
+                let initial_speed = 1.0 / self.factor;
+                target.update_behaviour(|behaviour| {
+                    behaviour.speed = initial_speed + (1.0 - initial_speed) * progress
+                });
+                sleep(Duration::from_millis(self.for_ms / WARM_UP_STEPS)).await;
             }
         }
         .boxed()
@@ -122,8 +125,8 @@
 
     fn end<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
         async {
-            if let Some(target) = target_of(context, self.target) {
-                target.change(|behaviour| behaviour.speed = 1.0);
+            if let Some(target) = find_target(context, self.target) {
+                target.update_behaviour(|behaviour| behaviour.speed = 1.0);
             }
         }
         .boxed()
@@ -151,13 +154,13 @@
     }
 }
 
-/// How long callers go on using the entry of a node that stops as planned.
-const CALLERS_LAG: Duration = Duration::from_millis(500);
+/// How long callers keep using an entry node after its planned stop has begun.
+const ENTRY_REMOVAL_DELAY: Duration = Duration::from_millis(500);
 
 struct NodeStop {
     target: usize,
     is_planned: bool,
-    old: Mutex<Option<Addresses>>,
+    addresses: Mutex<Option<Addresses>>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -168,10 +171,10 @@
 }
 
 impl NodeStop {
-    fn keep(&self, node: &NodeThread) {
+    fn remember_addresses(&self, node: &NodeThread) {
         let addresses =
             Addresses { entry: node.entry_address, peer: node.peer_address, admin: node.admin_address };
-        *self.old.lock().unwrap_or_else(PoisonError::into_inner) = Some(addresses);
+        *self.addresses.lock().unwrap_or_else(PoisonError::into_inner) = Some(addresses);
     }
 }
 
@@ -180,19 +183,19 @@
         async {
             let host = context.harness.host_name(self.target);
             let Some(node) = host.and_then(|host| context.harness.take_node(&host)) else { return };
-            self.keep(&node);
+            self.remember_addresses(&node);
             if self.is_planned {
                 let entries = context.entries.clone();
                 let entry = node.entry_address;
                 tokio::spawn(async move {
-                    sleep(CALLERS_LAG).await;
-                    entries.close(entry);
+                    sleep(ENTRY_REMOVAL_DELAY).await;
+                    entries.remove(entry);
                 });
                 if !node.stop().await {
-                    log::error!("a planned stop did not end in time");
+                    log::error!("node {}: planned stop exceeded its time limit", node.entry_address);
                 }
             } else {
-                context.entries.close(node.entry_address);
+                context.entries.remove(node.entry_address);
                 node.kill().await;
             }
         }
@@ -201,12 +204,13 @@
 
     fn end<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
         async {
-            let old = self.old.lock().unwrap_or_else(PoisonError::into_inner).take();
+            let addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner).take();
             let host = context.harness.host_name(self.target);
-            let (Some(old), Some(host)) = (old, host) else { return };
-            match context.harness.restart_node(&host, old.entry, old.peer, old.admin).await {
-                Ok(()) => context.entries.open(old.entry),
-                Err(error) => log::error!("restart of {host}: {error}"),
+            let (Some(addresses), Some(host)) = (addresses, host) else { return };
+            match context.harness.restart_node(&host, addresses.entry, addresses.peer, addresses.admin).await
+            {
+                Ok(()) => context.entries.add(addresses.entry),
+                Err(error) => log::error!("cannot restart the node on host {host}: {error}"),
             }
         }
         .boxed()
@@ -218,7 +222,7 @@
 }
 
 impl HostLeaving {
-    fn set(&self, context: &FaultContext, state: HostState) {
+    fn apply(&self, context: &FaultContext, state: HostState) {
         if let Some(host) = context.harness.host_name(self.target) {
             context.harness.set_host_state(&host, state);
         }
@@ -227,16 +231,16 @@
 
 impl Fault for HostLeaving {
     fn start<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, HostState::Leaving) }.boxed()
+        async { self.apply(context, HostState::Leaving) }.boxed()
     }
 
     fn end<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, HostState::Live) }.boxed()
+        async { self.apply(context, HostState::Live) }.boxed()
     }
 }
 
-/// The data centre of this number, from 1.
-fn data_centre_of(context: &FaultContext, number: usize) -> Option<&str> {
+/// Returns the name of the data centre with this number, counted from 1; `None` if there is no such data centre.
+fn data_centre_name(context: &FaultContext, number: usize) -> Option<&str> {
     let index = number.checked_sub(1)?;
     context.harness.plan.data_centres.get(index).map(String::as_str)
 }
@@ -246,8 +250,8 @@
 }
 
 impl EvacuateDataCentre {
-    fn set(&self, context: &FaultContext, is_evacuated: bool) {
-        if let Some(name) = data_centre_of(context, self.number) {
+    fn apply(&self, context: &FaultContext, is_evacuated: bool) {
+        if let Some(name) = data_centre_name(context, self.number) {
             context.harness.set_evacuated(name, is_evacuated);
         }
     }
@@ -255,33 +259,33 @@
 
 impl Fault for EvacuateDataCentre {
     fn start<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, true) }.boxed()
+        async { self.apply(context, true) }.boxed()
     }
 
     fn end<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, false) }.boxed()
+        async { self.apply(context, false) }.boxed()
     }
 }
 
-struct CutDataCentre {
+struct PartitionDataCentre {
     number: usize,
 }
 
-impl CutDataCentre {
-    fn set(&self, context: &FaultContext, is_cut: bool) {
-        if let Some(name) = data_centre_of(context, self.number) {
-            context.harness.cuts.set_cut(name, is_cut);
+impl PartitionDataCentre {
+    fn apply(&self, context: &FaultContext, is_partitioned: bool) {
+        if let Some(name) = data_centre_name(context, self.number) {
+            context.harness.partitions.set_partitioned(name, is_partitioned);
         }
     }
 }
 
-impl Fault for CutDataCentre {
+impl Fault for PartitionDataCentre {
     fn start<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, true) }.boxed()
+        async { self.apply(context, true) }.boxed()
     }
 
     fn end<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, false) }.boxed()
+        async { self.apply(context, false) }.boxed()
     }
 }
 
@@ -290,30 +294,30 @@
 }
 
 impl PlatformFault {
-    fn set(&self, context: &FaultContext, is_on: bool) {
+    fn apply(&self, context: &FaultContext, is_on: bool) {
         if self.is_stale {
             context.harness.platform.set_stale(is_on);
         } else {
-            context.harness.platform.set_away(is_on);
+            context.harness.platform.set_unavailable(is_on);
         }
     }
 }
 
 impl Fault for PlatformFault {
     fn start<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, true) }.boxed()
+        async { self.apply(context, true) }.boxed()
     }
 
     fn end<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
-        async { self.set(context, false) }.boxed()
+        async { self.apply(context, false) }.boxed()
     }
 }
 
-struct PlatformReturn {
+struct PlatformRestore {
     copy: Mutex<Option<Snapshot>>,
 }
 
-impl Fault for PlatformReturn {
+impl Fault for PlatformRestore {
     fn start<'a>(&'a self, context: &'a FaultContext) -> BoxFuture<'a, ()> {
         async {
             let copy = context.harness.platform.snapshot();
@@ -327,13 +331,13 @@
             let copy = self.copy.lock().unwrap_or_else(PoisonError::into_inner).take();
             let Some(copy) = copy else { return };
             let platform = &context.harness.platform;
-            platform.set_away(true);
-            sleep(RETURN_PAUSE).await;
-            let lost = platform.snapshot();
-            platform.return_from(&copy);
-            platform.set_away(false);
-            sleep(RETURN_PAUSE).await;
-            platform.publish_again(&lost);
+            platform.set_unavailable(true);
+            sleep(RESTORE_PAUSE).await;
+            let before_restore = platform.snapshot();
+            platform.restore(&copy);
+            platform.set_unavailable(false);
+            sleep(RESTORE_PAUSE).await;
+            platform.republish(&before_restore);
         }
         .boxed()
     }
--- a/crates/laurelstall_standin/src/fault_plan.rs
+++ b/crates/laurelstall_standin/src/fault_plan.rs
@@ -1,24 +1,24 @@
-//! The faults of a scenario, as its file names them.
+//! Fault definitions of a scenario file.
 
 use serde::Deserialize;
 
-/// One fault.
+/// A fault of a scenario.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultPlan {
-    /// When it starts, in ms.
+    /// Start of the fault in ms since the start of the scenario.
     pub at_ms: u64,
-    /// How long it lasts in ms.
+    /// Duration of the fault in ms.
     pub for_ms: u64,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Which target, by number from 1 over all services; 0 for none or all.
+    /// Number of the affected target, counted from 1 over all services; 0 for none or all.
     #[serde(default)]
     pub target: usize,
-    /// Which data centre, by number from 1.
+    /// Number of the affected data centre, counted from 1.
     #[serde(default)]
     pub data_centre: usize,
-    /// How much slower, where that applies.
+    /// Factor of the slowdown, for kinds that slow a target down.
     #[serde(default = "factor_default")]
     pub factor: f64,
 }
@@ -27,39 +27,39 @@
     10.0
 }
 
-/// The kinds of fault.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The target gets slower by `factor`.
+    /// The target slows down by `factor`.
     Slow,
-    /// The target answers nothing.
+    /// The target does not answer.
     Pause,
-    /// The target answers each call at once with an error.
+    /// The target answers each call immediately with an error.
     FailFast,
     /// The target sheds each call.
     Shed,
-    /// Answers break off.
+    /// The target aborts generated answer bodies halfway.
     CutAnswers,
-    /// The target starts cold: slow by `factor`, up to speed at the end.
+    /// The target starts cold: it is slower by `factor` at first and reaches full speed at the end.
     ColdStart,
     /// The node's process is paused.
     NodePause,
-    /// The node's process is killed, and started again at the end.
+    /// The node's process is killed, and restarted at the end.
     NodeKill,
-    /// The node is stopped as planned, and started again at the end.
+    /// The node is stopped gracefully, and restarted at the end.
     NodeDrain,
     /// The platform lists the host as leaving until the end.
     HostLeaving,
     /// The platform lists a data centre as evacuated until the end.
     EvacuateDataCentre,
-    /// A data centre is cut off from the others and from the platform.
+    /// A data centre is partitioned from the others and from the platform.
     CutDataCentre,
-    /// The platform is away.
+    /// The platform is unavailable.
     PlatformAway,
-    /// The platform shows what it had at the start.
+    /// The platform serves the documents that it had at the start of the fault.
     PlatformStale,
-    /// The platform is away for a moment at the end, and comes back from a copy made at the start; what was published
-    /// since is published again a moment later.
+    /// At the end, the platform is briefly unavailable and is restored from a copy made at the start; documents that
+    /// were published since then are published again shortly after.
     PlatformReturn,
 }
--- a/crates/laurelstall_standin/src/fleet_bench.rs
+++ b/crates/laurelstall_standin/src/fleet_bench.rs
@@ -1,12 +1,12 @@
-//! Many real nodes in one process, to measure how configuration spreads and what control costs.
+//! Runs many real nodes in one process to measure configuration propagation and the cost of control traffic.
 
 use crate::{
-    cuts::{Cuts, HostLink},
+    cuts::{HostLink, Partitions},
     harness::{Sockets, to_toml},
     harness_plan::PROGRAM,
-    latency::Latency,
+    latency::LatencyHistogram,
     node_thread::NodeThread,
-    platform::{PlatformWay, Snapshot, StandinPlatform},
+    platform::{PlatformConnection, Snapshot, StandinPlatform},
     process::{cpu_s, memory_bytes},
     threads::RuntimeThread,
 };
@@ -28,151 +28,151 @@
 };
 use tokio::time::{Duration, sleep};
 
-/// Services at the letter's size.
+/// Number of services in the reference deployment.
 pub const SERVICES: usize = 31;
-/// Services of one team.
+/// Number of services that one team owns.
 const SERVICES_PER_TEAM: usize = 3;
-/// Data centres at the letter's size, in two regions.
+/// Data centres of the reference deployment, in two regions.
 const DATA_CENTRES: [&str; 4] = ["north-1", "north-2", "south-1", "south-2"];
-/// One-way time within and between regions in µs.
+/// One-way network delay in µs within a region and between regions.
 const ONE_WAY_US: (u64, u64) = (1_000, 15_000);
-/// Threads that carry all nodes.
+/// Number of threads that run all nodes.
 const THREADS: usize = 7;
-/// Pause between two looks at what is in force, in ms.
-const LOOK_MS: u64 = 4;
-/// Longest wait for a change to be in force everywhere.
+/// Interval in ms between two checks of the versions that nodes use.
+const POLL_INTERVAL_MS: u64 = 4;
+/// Time after which a change that has not taken effect on all nodes counts as overdue.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
-/// TCP/IP header bytes for each message: its own packet and an acknowledgement.
+/// TCP/IP header bytes per message: one data packet and one acknowledgement.
 const HEADER_BYTES_PER_MESSAGE: u64 = 104;
-/// Longest wait of a platform watch in ms.
+/// Longest time in ms that the platform holds a watch request open.
 const WATCH_WAIT_MS: u64 = 30_000;
 
-/// What goes wrong while changes are published.
+/// Fault that is active while changes are published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disturbance {
-    /// Nothing.
+    /// No fault.
     None,
-    /// A fifth of the nodes are killed and started again, spread over the run.
+    /// A fifth of the nodes are killed and restarted, one by one over the whole run.
     Restarts,
-    /// A data centre is cut off for the middle third.
-    Cut,
-    /// The platform shows what it had at the start for the middle third.
+    /// A data centre is partitioned from the rest during the middle third of the run.
+    Partition,
+    /// The platform serves stale documents during the middle third of the run.
     Stale,
-    /// The platform is away for the middle third.
-    Away,
-    /// The platform comes back, after the middle third, from the copy that it had before it.
-    Returned,
+    /// The platform is unavailable during the middle third of the run.
+    Unavailable,
+    /// The platform is restored, at the end of the middle third, from a copy made at its start.
+    Restored,
 }
 
 impl Disturbance {
-    /// The one of this name.
+    /// Returns the disturbance with this name on the command line.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "none" => Some(Self::None),
             "restarts" => Some(Self::Restarts),
-            "cut" => Some(Self::Cut),
+            "cut" => Some(Self::Partition),
             "stale" => Some(Self::Stale),
-            "away" => Some(Self::Away),
-            "returned" => Some(Self::Returned),
+            "away" => Some(Self::Unavailable),
+            "returned" => Some(Self::Restored),
             _ => None,
         }
     }
 }
 
-/// What to measure.
+/// Parameters of a fleet measurement.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetPlan {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Length in s.
+    /// Length of the run in s.
     pub seconds: u64,
-    /// Pause between two changes in ms; 0 for none.
+    /// Interval between two changes in ms; 0 publishes no changes.
     pub change_interval_ms: u64,
-    /// What goes wrong.
+    /// Fault to inject.
     pub disturbance: Disturbance,
     /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// What was measured.
+/// Result of a fleet measurement.
 #[derive(Debug, Clone, Serialize)]
 pub struct FleetResult {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Changes published.
+    /// Number of changes published.
     pub changes: u64,
-    /// Time until a change was in force, over all nodes and changes: median in ms.
+    /// Time until a change takes effect on a node, over all nodes and changes: median in ms.
     pub in_force_p50_ms: f64,
-    /// 99th percentile in ms.
+    /// 99th percentile of this time in ms.
     pub in_force_p99_ms: f64,
-    /// Longest in ms.
+    /// Maximum of this time in ms.
     pub in_force_max_ms: f64,
-    /// Changes that were not in force somewhere when they were due.
+    /// Number of changes that did not take effect on all nodes in time.
     pub overdue: u64,
-    /// Times a node was seen with an older version than before.
+    /// How often a node was observed with an older document version than before.
     pub fell_back: u64,
-    /// Bytes a second a node, both directions, TCP/IP headers estimated.
+    /// Control traffic per node in bytes per second, both directions, with an estimate for TCP/IP headers.
     pub control_bytes_per_s_per_node: f64,
-    /// Messages a second a node, both directions.
+    /// Control messages per second per node, both directions.
     pub control_messages_per_s_per_node: f64,
-    /// Most bytes of the whole run at one node, a second.
+    /// Control traffic of the busiest node in bytes per second.
     pub control_bytes_per_s_max_node: f64,
-    /// Calls a second to the platform.
+    /// Requests to the platform per second.
     pub platform_calls_per_s: f64,
-    /// Share of a core for each node.
+    /// CPU usage per node as a share of one core.
     pub cpu_share_per_node: f64,
-    /// Memory for each node in bytes.
+    /// Memory per node in bytes.
     pub memory_bytes_per_node: f64,
-    /// Connections open for each node, both ways.
+    /// Open connections per node, incoming and outgoing.
     pub connections_per_node: f64,
-    /// Bytes of all documents.
+    /// Total size of all documents in bytes.
     pub configuration_bytes: usize,
-    /// Time until all nodes had joined, in ms.
+    /// Time until all nodes joined the fleet, in ms.
     pub joined_ms: f64,
 }
 
-struct Member {
+struct BenchNode {
     host: Host,
     node: Option<NodeThread>,
     addresses: [SocketAddr; 3],
     thread: Arc<RuntimeThread>,
 }
 
-struct Bench {
+struct FleetBench {
     plan: FleetPlan,
     platform: Arc<StandinPlatform>,
-    cuts: Arc<Cuts>,
-    members: Vec<Member>,
-    seen: HashMap<(usize, DocumentName), (Version, Option<u64>)>,
-    fell_back: u64,
+    partitions: Arc<Partitions>,
+    members: Vec<BenchNode>,
+    latest_versions: HashMap<(usize, DocumentName), (Version, Option<u64>)>,
+    rollbacks: u64,
 }
 
-/// Runs the bench.
+/// Runs a fleet measurement.
 ///
 /// # Errors
 ///
-/// What kept a node from starting.
+/// Returns the error of the first node that fails to start or restart.
 pub async fn run(plan: FleetPlan) -> Result<FleetResult, String> {
     let memory_before = memory_bytes();
     let started = StdInstant::now();
-    let mut bench = Bench::start(plan).await?;
+    let mut bench = FleetBench::start(plan).await?;
     let joined_ms = started.elapsed().as_secs_f64() * 1_000.0;
-    // Connections settle before anything is counted.
+    // Waits until the nodes have established their connections.
     sleep(Duration::from_secs(3)).await;
     let memory = memory_bytes().saturating_sub(memory_before);
-    let before = bench.spent();
+    let before = bench.control_traffic();
     let (calls_before, cpu_before_s) = (bench.platform.calls(), cpu_s());
     let measured = StdInstant::now();
-    let (latency, changes, overdue) = bench.publish_and_watch().await?;
+    let (latency, changes, overdue) = bench.publish_and_measure().await?;
     let length_s = measured.elapsed().as_secs_f64();
     let cpu_spent_s = cpu_s() - cpu_before_s;
-    let after = bench.spent();
+    let after = bench.control_traffic();
     let nodes = plan.nodes as f64;
-    let grown = after.iter().zip(&before).map(|(a, b)| (a.0.saturating_sub(b.0), a.1.saturating_sub(b.1)));
-    let grown = grown.collect::<Vec<_>>();
-    let bytes: u64 = grown.iter().map(|(bytes, _)| bytes).sum();
-    let messages: u64 = grown.iter().map(|(_, messages)| messages).sum();
-    let most = grown.iter().map(|(bytes, _)| *bytes).max().unwrap_or(0);
+    let deltas = after.iter().zip(&before).map(|(a, b)| (a.0.saturating_sub(b.0), a.1.saturating_sub(b.1)));
+    let deltas = deltas.collect::<Vec<_>>();
+    let bytes: u64 = deltas.iter().map(|(bytes, _)| bytes).sum();
+    let messages: u64 = deltas.iter().map(|(_, messages)| messages).sum();
+    let busiest_bytes = deltas.iter().map(|(bytes, _)| *bytes).max().unwrap_or(0);
     Ok(FleetResult {
         nodes: plan.nodes,
         changes,
@@ -180,10 +180,10 @@
         in_force_p99_ms: latency.percentile_ms(99.0),
         in_force_max_ms: latency.percentile_ms(100.0),
         overdue,
-        fell_back: bench.fell_back,
+        fell_back: bench.rollbacks,
         control_bytes_per_s_per_node: bytes as f64 / length_s / nodes,
         control_messages_per_s_per_node: messages as f64 / length_s / nodes,
-        control_bytes_per_s_max_node: most as f64 / length_s,
+        control_bytes_per_s_max_node: busiest_bytes as f64 / length_s,
         platform_calls_per_s: (bench.platform.calls() - calls_before) as f64 / length_s,
         cpu_share_per_node: cpu_spent_s / length_s / nodes,
         memory_bytes_per_node: memory as f64 / nodes,
@@ -193,10 +193,10 @@
     })
 }
 
-impl Bench {
+impl FleetBench {
     async fn start(plan: FleetPlan) -> Result<Self, String> {
         let platform = StandinPlatform::new();
-        let cuts = Arc::new(Cuts::default());
+        let partitions = Arc::new(Partitions::default());
         let threads =
             (0..THREADS).map(|n| Arc::new(RuntimeThread::start(&format!("nodes-{n}")))).collect::<Vec<_>>();
         let mut members = Vec::new();
@@ -204,7 +204,7 @@
         for index in 0..plan.nodes {
             let bound = Sockets::bind();
             let data_centre = DATA_CENTRES[index % DATA_CENTRES.len()].to_owned();
-            cuts.place(bound.peer.1, &data_centre);
+            partitions.set_data_centre(bound.peer.1, &data_centre);
             let host = Host {
                 name: format!("host-{index:03}"),
                 node_address: bound.peer.1,
@@ -213,11 +213,12 @@
             };
             let addresses = [bound.entry.1, bound.peer.1, bound.admin.1];
             let thread = threads[index % threads.len()].clone();
-            members.push(Member { host, node: None, addresses, thread });
+            members.push(BenchNode { host, node: None, addresses, thread });
             sockets.push(bound);
         }
         publish_documents(&platform, &members);
-        let mut this = Self { plan, platform, cuts, members, seen: HashMap::new(), fell_back: 0 };
+        let mut this =
+            Self { plan, platform, partitions, members, latest_versions: HashMap::new(), rollbacks: 0 };
         let starting = sockets.into_iter().enumerate().map(|(index, sockets)| {
             let listeners =
                 Listeners { entry: sockets.entry.0, peer: sockets.peer.0, admin: sockets.admin.0 };
@@ -260,27 +261,32 @@
         };
         let mut options = NodeOptions::new(settings, listeners);
         options.seed = self.plan.seed * 100_000 + index as u64;
-        options.link =
-            Arc::new(HostLink { data_centre: member.host.data_centre.clone(), cuts: self.cuts.clone() });
-        let flag = self.cuts.platform_flag(&member.host.data_centre);
-        options.platform = Some(Arc::new(PlatformWay::new(self.platform.clone(), flag, WATCH_WAIT_MS)));
+        options.link = Arc::new(HostLink {
+            data_centre: member.host.data_centre.clone(),
+            partitions: self.partitions.clone(),
+        });
+        let flag = self.partitions.platform_partition_flag(&member.host.data_centre);
+        options.platform =
+            Some(Arc::new(PlatformConnection::new(self.platform.clone(), flag, WATCH_WAIT_MS)));
         options
     }
 
-    /// Publishes changes at their pace and watches each until it is in force everywhere.
-    async fn publish_and_watch(&mut self) -> Result<(Latency, u64, u64), String> {
+    /// Publishes changes at the planned interval and tracks each until it takes effect on all nodes.
+    ///
+    /// Returns the propagation delays, the number of changes and the number of overdue changes.
+    async fn publish_and_measure(&mut self) -> Result<(LatencyHistogram, u64, u64), String> {
         let mut rng = SmallRng::seed_from_u64(self.plan.seed);
-        let mut latency = Latency::new();
+        let mut latency = LatencyHistogram::new();
         let start = StdInstant::now();
         let length = Duration::from_secs(self.plan.seconds);
         let (mut changes, mut next_change_ms) = (0, self.plan.change_interval_ms);
-        let mut pending: Vec<Pending> = Vec::new();
+        let mut pending: Vec<PendingChange> = Vec::new();
         let mut overdue = 0;
-        let mut disturbed = Disturbed::default();
+        let mut state = DisturbanceState::default();
         while start.elapsed() < length || (!pending.is_empty() && start.elapsed() < length + CHANGE_TIMEOUT) {
-            sleep(Duration::from_millis(LOOK_MS)).await;
+            sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
             let now_ms = start.elapsed().as_millis() as u64;
-            self.disturb(&mut disturbed, now_ms).await?;
+            self.apply_disturbance(&mut state, now_ms).await?;
             let is_due =
                 self.plan.change_interval_ms > 0 && now_ms >= next_change_ms && start.elapsed() < length;
             if is_due {
@@ -289,21 +295,21 @@
                 changes += 1;
             }
             for change in &mut pending {
-                self.look(change, &mut latency);
+                self.record_propagation(change, &mut latency);
             }
             overdue += pending.iter().filter(|change| change.is_overdue()).count() as u64;
-            pending.retain(|change| !change.is_over() && !change.is_overdue());
-            self.watch_for_falls();
+            pending.retain(|change| !change.is_complete() && !change.is_overdue());
+            self.count_version_rollbacks();
         }
         Ok((latency, changes, overdue + pending.len() as u64))
     }
 
-    fn publish_change(&self, rng: &mut SmallRng) -> Pending {
+    fn publish_change(&self, rng: &mut SmallRng) -> PendingChange {
         let teams = SERVICES.div_ceil(SERVICES_PER_TEAM);
         let team = rng.random_range(0..teams);
         let name = DocumentName::Team(format!("team-{team:02}"));
         let text = self.platform.text(&name).unwrap_or_default();
-        // As a deploy does: one number of one service is another.
+        // Simulates a deploy that changes one number of a service.
         let wait_ms = rng.random_range(500..1_500);
         let changed = text.lines().map(|line| match line.starts_with("queue_wait_max_ms") {
             true => format!("queue_wait_max_ms = {wait_ms}"),
@@ -311,59 +317,67 @@
         });
         let changed = changed.collect::<Vec<_>>().join("\n") + "\n";
         let version = self.platform.publish(&name, &changed);
-        Pending { name, version, at: StdInstant::now(), has: vec![false; self.members.len()] }
+        PendingChange {
+            name,
+            version,
+            published_at: StdInstant::now(),
+            has_change: vec![false; self.members.len()],
+        }
     }
 
-    fn look(&self, change: &mut Pending, latency: &mut Latency) {
+    fn record_propagation(&self, change: &mut PendingChange, latency: &mut LatencyHistogram) {
         for (index, member) in self.members.iter().enumerate() {
             let Some(node) = &member.node else { continue };
-            if change.has[index] || node.active.load().configuration.version(&change.name) < change.version {
+            if change.has_change[index]
+                || node.active.load().configuration.version(&change.name) < change.version
+            {
                 continue;
             }
-            change.has[index] = true;
-            latency.add_us(change.at.elapsed().as_micros() as u64);
+            change.has_change[index] = true;
+            latency.add_us(change.published_at.elapsed().as_micros() as u64);
         }
     }
 
-    fn watch_for_falls(&mut self) {
+    fn count_version_rollbacks(&mut self) {
         for (index, member) in self.members.iter().enumerate() {
             let Some(node) = &member.node else { continue };
             let start = node.guard.incarnation();
             for (name, version) in &node.active.load().configuration.versions {
-                let seen = self.seen.entry((index, name.clone())).or_insert((*version, Some(start)));
-                // A node that was started again may lag, but must not serve what is older than
-                // what its host had served, once it has joined.
-                if *version < seen.0 && node.spread.is_joined() {
-                    self.fell_back += 1;
+                let latest =
+                    self.latest_versions.entry((index, name.clone())).or_insert((*version, Some(start)));
+                // A restarted node may lag until it has joined; from then on it must not use an older version than
+                // its host used before.
+                if *version < latest.0 && node.spread.is_joined() {
+                    self.rollbacks += 1;
                 }
-                *seen = (*version, Some(start));
+                *latest = (*version, Some(start));
             }
         }
     }
 
-    async fn disturb(&mut self, disturbed: &mut Disturbed, now_ms: u64) -> Result<(), String> {
+    async fn apply_disturbance(&mut self, state: &mut DisturbanceState, now_ms: u64) -> Result<(), String> {
         let third_ms = self.plan.seconds * 1_000 / 3;
         let is_middle = (third_ms..2 * third_ms).contains(&now_ms);
         if self.plan.disturbance == Disturbance::Restarts {
             let due = (now_ms * self.members.len() as u64 / 5 / (self.plan.seconds * 1_000)) as usize;
-            while disturbed.restarted < due.min(self.members.len() / 5) {
-                let index = disturbed.restarted * 5;
-                disturbed.restarted += 1;
+            while state.restarted < due.min(self.members.len() / 5) {
+                let index = state.restarted * 5;
+                state.restarted += 1;
                 self.restart(index).await?;
             }
             return Ok(());
         }
-        if is_middle == disturbed.is_on {
+        if is_middle == state.is_on {
             return Ok(());
         }
-        disturbed.is_on = is_middle;
+        state.is_on = is_middle;
         match self.plan.disturbance {
-            Disturbance::Cut => self.cuts.set_cut(DATA_CENTRES[1], is_middle),
+            Disturbance::Partition => self.partitions.set_partitioned(DATA_CENTRES[1], is_middle),
             Disturbance::Stale => self.platform.set_stale(is_middle),
-            Disturbance::Away => self.platform.set_away(is_middle),
-            Disturbance::Returned => match disturbed.copy.take() {
-                Some(copy) => self.platform.return_from(&copy),
-                None => disturbed.copy = Some(self.platform.snapshot()),
+            Disturbance::Unavailable => self.platform.set_unavailable(is_middle),
+            Disturbance::Restored => match state.copy.take() {
+                Some(copy) => self.platform.restore(&copy),
+                None => state.copy = Some(self.platform.snapshot()),
             },
             Disturbance::None | Disturbance::Restarts => {}
         }
@@ -384,9 +398,9 @@
         Ok(())
     }
 
-    /// Bytes and messages that each node spent so far.
-    fn spent(&self) -> Vec<(u64, u64)> {
-        let of = |member: &Member| {
+    /// Returns the bytes and messages of control traffic of each node so far.
+    fn control_traffic(&self) -> Vec<(u64, u64)> {
+        let traffic = |member: &BenchNode| {
             let Some(node) = &member.node else { return (0, 0) };
             let meter = node.meter();
             let load = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
@@ -394,7 +408,7 @@
             let bytes = load(&meter.received_bytes) + load(&meter.sent_bytes);
             (bytes + messages * HEADER_BYTES_PER_MESSAGE, messages)
         };
-        self.members.iter().map(of).collect()
+        self.members.iter().map(traffic).collect()
     }
 
     fn connections(&self) -> u64 {
@@ -411,31 +425,31 @@
 }
 
 #[derive(Debug, Default)]
-struct Disturbed {
+struct DisturbanceState {
     is_on: bool,
-    /// What the platform comes back from.
+    /// Copy that the platform is restored from.
     copy: Option<Snapshot>,
     restarted: usize,
 }
 
-struct Pending {
+struct PendingChange {
     name: DocumentName,
     version: Version,
-    at: StdInstant,
-    has: Vec<bool>,
+    published_at: StdInstant,
+    has_change: Vec<bool>,
 }
 
-impl Pending {
-    fn is_over(&self) -> bool {
-        self.has.iter().all(|has| *has)
+impl PendingChange {
+    fn is_complete(&self) -> bool {
+        self.has_change.iter().all(|has_change| *has_change)
     }
 
     fn is_overdue(&self) -> bool {
-        self.at.elapsed() > CHANGE_TIMEOUT
+        self.published_at.elapsed() > CHANGE_TIMEOUT
     }
 }
 
-fn publish_documents(platform: &Arc<StandinPlatform>, members: &[Member]) {
+fn publish_documents(platform: &Arc<StandinPlatform>, members: &[BenchNode]) {
     let fleet =
         Fleet { hosts: members.iter().map(|member| member.host.clone()).collect(), ..Fleet::default() };
     platform.publish(&DocumentName::Fleet, &to_toml(&fleet));
@@ -449,15 +463,15 @@
     let mut limits = SystemLimits::default();
     for (index, from) in DATA_CENTRES.iter().enumerate() {
         for to in &DATA_CENTRES[index + 1..] {
-            let is_near = from[..5] == to[..5];
-            let one_way_us = if is_near { ONE_WAY_US.0 } else { ONE_WAY_US.1 };
+            let is_same_region = from[..5] == to[..5];
+            let one_way_us = if is_same_region { ONE_WAY_US.0 } else { ONE_WAY_US.1 };
             limits.distances.push(Distance { from: (*from).to_owned(), to: (*to).to_owned(), one_way_us });
         }
     }
     limits
 }
 
-/// Team documents of the letter's size: [`SERVICES`] services over `targets` targets.
+/// Returns the team documents of the reference deployment: [`SERVICES`] services that share `targets` targets.
 pub fn team_documents(targets: usize) -> Vec<(DocumentName, String)> {
     let services = (0..SERVICES).map(|number| Service {
         load_path: String::new(),
--- a/crates/laurelstall_standin/src/harness.rs
+++ b/crates/laurelstall_standin/src/harness.rs
@@ -1,12 +1,12 @@
-//! Platform, targets and nodes of one deployment, started together on loopback.
+//! Starts the platform, targets and nodes of one deployment on the loopback interface.
 
 use crate::{
     call_uri::CALLER_HOST,
-    cuts::{Cuts, HostLink},
+    cuts::{HostLink, Partitions},
     harness_plan::{HarnessPlan, ServicePlan},
     node_thread::NodeThread,
-    platform::{PlatformWay, StandinPlatform},
-    records::Records,
+    platform::{PlatformConnection, StandinPlatform},
+    records::RunRecords,
     target::{StandinTarget, TargetPlan, Targets, listen},
     threads::RuntimeThread,
 };
@@ -26,60 +26,60 @@
     sync::{Arc, Mutex, PoisonError, RwLock},
 };
 
-/// Team that all stand-in services belong to.
+/// The team that owns all stand-in services.
 pub const TEAM: &str = "standin";
-/// Longest wait of a platform watch in ms.
+/// Longest time in ms that the platform holds a watch request open.
 const WATCH_WAIT_MS: u64 = 10_000;
 
-/// One host: a target and the node beside it.
+/// A host that runs one target and one node.
 #[derive(Debug)]
 pub struct HarnessHost {
-    /// The host's name.
+    /// Name of the host.
     pub name: String,
-    /// Its data centre.
+    /// Data centre that the host is in.
     pub data_centre: String,
-    /// Service of its target.
+    /// Name of the service that the target belongs to.
     pub service: String,
-    /// Its target's address.
+    /// Address that the target listens on.
     pub target_address: SocketAddr,
-    /// Its node, unless it was stopped.
+    /// The running node; `None` before the start and after a stop.
     pub node: Option<Arc<NodeThread>>,
 }
 
 /// A running deployment.
 #[derive(Debug)]
 pub struct Harness {
-    /// What was started.
+    /// The plan that the deployment was started from.
     pub plan: HarnessPlan,
-    /// The platform.
+    /// The stand-in platform.
     pub platform: Arc<StandinPlatform>,
-    /// The targets.
+    /// The stand-in targets.
     pub targets: Arc<Targets>,
-    /// What they ran.
-    pub records: Arc<Records>,
-    /// What is cut.
-    pub cuts: Arc<Cuts>,
+    /// The calls that the targets executed.
+    pub records: Arc<RunRecords>,
+    /// The active network partitions.
+    pub partitions: Arc<Partitions>,
     hosts: Mutex<Vec<HarnessHost>>,
     peer_addresses: RwLock<Vec<SocketAddr>>,
     _target_threads: Vec<RuntimeThread>,
 }
 
-/// Other nodes that a node asks before it knows the fleet.
-const SEEDS: usize = 2;
-/// Threads on which targets run.
+/// Number of seed nodes that a node contacts before it knows the fleet.
+const SEED_NODES: usize = 2;
+/// Number of threads that run targets.
 const TARGET_THREADS: usize = 2;
 
 impl Harness {
-    /// Starts platform, targets and nodes, and waits until all nodes serve.
+    /// Starts the platform, targets and nodes, and waits until all nodes serve.
     ///
     /// # Errors
     ///
-    /// What kept a node from starting.
+    /// Returns the error of the first node that fails to start.
     pub async fn start(plan: HarnessPlan) -> Result<Self, NodeError> {
         let platform = StandinPlatform::new();
         let targets = Arc::new(Targets::default());
-        let records = Arc::new(Records::default());
-        let cuts = Arc::new(Cuts::default());
+        let records = Arc::new(RunRecords::default());
+        let partitions = Arc::new(Partitions::default());
         let threads =
             (0..TARGET_THREADS).map(|n| RuntimeThread::start(&format!("targets-{n}"))).collect::<Vec<_>>();
         let mut hosts = Vec::new();
@@ -100,10 +100,10 @@
                 let started = thread.handle().spawn(async move {
                     targets.add(StandinTarget::start(target_plan, records, listener));
                 });
-                started.await.expect("a target starts");
+                started.await.expect("starting a target does not panic");
                 let data_centre = plan.data_centres[index % plan.data_centres.len()].clone();
                 let listeners = Sockets::bind();
-                cuts.place(listeners.peer.1, &data_centre);
+                partitions.set_data_centre(listeners.peer.1, &data_centre);
                 hosts.push(HarnessHost {
                     name: format!("{}-{number}-host", service.name),
                     data_centre,
@@ -119,7 +119,7 @@
             platform,
             targets,
             records,
-            cuts,
+            partitions,
             hosts: Mutex::new(hosts),
             peer_addresses: RwLock::new(sockets.iter().map(|sockets| sockets.peer.1).collect()),
             _target_threads: threads,
@@ -129,27 +129,27 @@
         Ok(this)
     }
 
-    /// The nodes that run, with their hosts' names.
+    /// Returns the running nodes with the names of their hosts.
     pub fn nodes(&self) -> Vec<(String, Arc<NodeThread>)> {
         let hosts = self.hosts();
         hosts.iter().filter_map(|host| Some((host.name.clone(), host.node.clone()?))).collect()
     }
 
-    /// The node of a host.
+    /// Returns the node on `host`; `None` if the host is unknown or its node is stopped.
     pub fn node(&self, host: &str) -> Option<Arc<NodeThread>> {
         self.hosts().iter().find(|other| other.name == host)?.node.clone()
     }
 
-    /// Takes a node out, to be stopped or dropped.
+    /// Removes the node of `host` from the deployment, so that the caller can stop or drop it.
     pub fn take_node(&self, host: &str) -> Option<Arc<NodeThread>> {
         self.hosts().iter_mut().find(|other| other.name == host)?.node.take()
     }
 
-    /// Starts a node again on a host that has none, on the addresses it had.
+    /// Starts a node on `host` again, on the addresses that the stopped node had.
     ///
     /// # Errors
     ///
-    /// What kept it from starting.
+    /// Returns an error if an address cannot be bound or the node fails to start.
     pub async fn restart_node(
         &self,
         host: &str,
@@ -172,63 +172,66 @@
         Ok(())
     }
 
-    /// Name of the host with this number, from 1.
+    /// Returns the name of the host with this number, counted from 1.
     pub fn host_name(&self, number: usize) -> Option<String> {
         let hosts = self.hosts();
         number.checked_sub(1).and_then(|index| hosts.get(index)).map(|host| host.name.clone())
     }
 
-    /// A count by name, over all nodes that run.
-    pub fn count(&self, name: &str) -> u64 {
-        let of = |node: &NodeThread| {
+    /// Returns the sum of the counter `name` over all running nodes.
+    pub fn counter_total(&self, name: &str) -> u64 {
+        let value = |node: &NodeThread| {
             let all = node.counters.all();
             all.iter().find(|(other, _)| *other == name).map_or(0, |(_, count)| *count)
         };
-        self.nodes().iter().map(|(_, node)| of(node)).sum()
+        self.nodes().iter().map(|(_, node)| value(node)).sum()
     }
 
-    /// Most attempts for each call at any level of a chain of `levels`; 0 without a chain.
+    /// Returns the highest ratio of attempts to calls at any level of a call chain with `levels` levels; 0 without a
+    /// chain.
     ///
-    /// Calls of a level are those that the targets one level up made.
+    /// The calls of a level are the nested calls that the targets one level above it made.
     pub fn attempts_per_call_max_level(&self, levels: usize, calls: u64) -> f64 {
-        let seen = |level: usize| {
+        let received_and_made = |level: usize| {
             let names = (1..=2).map(|number| format!("level-{level}-{number}"));
             let targets = names.filter_map(|name| self.targets.get(&name));
-            targets.fold((0, 0), |(seen, made), target| (seen + target.seen(), made + target.made()))
+            targets.fold((0, 0), |(received, made), target| {
+                (received + target.requests_received(), made + target.calls_made())
+            })
         };
         if levels < 2 {
             return 0.0;
         }
-        let mut made = calls;
-        let mut most: f64 = 0.0;
+        let mut level_calls = calls;
+        let mut highest: f64 = 0.0;
         for level in 1..=levels {
-            let (attempts, next) = seen(level);
-            if made > 0 {
-                most = most.max(attempts as f64 / made as f64);
+            let (attempts, next_calls) = received_and_made(level);
+            if level_calls > 0 {
+                highest = highest.max(attempts as f64 / level_calls as f64);
             }
-            made = next;
+            level_calls = next_calls;
         }
-        most
+        highest
     }
 
-    /// Address of a service's targets, to call them without the system.
+    /// Returns the addresses of a service's targets, for direct calls that bypass the nodes.
     pub fn target_addresses(&self, service: &str) -> Vec<SocketAddr> {
         let hosts = self.hosts();
         hosts.iter().filter(|host| host.service == service).map(|host| host.target_address).collect()
     }
 
-    /// Marks a host as live or leaving in the platform's list.
+    /// Sets the state of a host in the host list that the platform publishes.
     pub fn set_host_state(&self, host: &str, state: HostState) {
-        self.change_fleet(|fleet| {
+        self.update_fleet(|fleet| {
             if let Some(host) = fleet.hosts.iter_mut().find(|other| other.name == host) {
                 host.state = state;
             }
         });
     }
 
-    /// Lists a data centre as evacuated, or takes it back.
+    /// Marks a data centre as evacuated in the published host list, or removes the mark.
     pub fn set_evacuated(&self, data_centre: &str, is_evacuated: bool) {
-        self.change_fleet(|fleet| {
+        self.update_fleet(|fleet| {
             fleet.evacuated.retain(|other| other != data_centre);
             if is_evacuated {
                 fleet.evacuated.push(data_centre.to_owned());
@@ -236,7 +239,7 @@
         });
     }
 
-    fn change_fleet(&self, change: impl FnOnce(&mut Fleet)) {
+    fn update_fleet(&self, change: impl FnOnce(&mut Fleet)) {
         let text = self.platform.text(&DocumentName::Fleet).unwrap_or_default();
         let mut fleet = Fleet::from_text("fleet", &text).unwrap_or_default();
         change(&mut fleet);
@@ -262,10 +265,10 @@
     }
 
     fn system_limits(&self) -> SystemLimits {
-        let centres = &self.plan.data_centres;
+        let data_centres = &self.plan.data_centres;
         let mut limits = SystemLimits { observe: self.plan.observe, ..SystemLimits::default() };
-        for (index, from) in centres.iter().enumerate() {
-            for to in &centres[index + 1..] {
+        for (index, from) in data_centres.iter().enumerate() {
+            for to in &data_centres[index + 1..] {
                 let one_way_us = self.plan.one_way_us;
                 limits.distances.push(Distance { from: from.clone(), to: to.clone(), one_way_us });
             }
@@ -303,50 +306,52 @@
             let node = node?;
             let host = &mut self.hosts()[index];
             if let Some(target) = self.targets.get(host.name.trim_end_matches("-host")) {
-                target.set_entry(node.entry_address);
+                target.set_entry_address(node.entry_address);
             }
             host.node = Some(Arc::new(node));
         }
         Ok(())
     }
 
-    /// Peer addresses of the next hosts in the list.
-    fn seeds(&self, index: usize) -> Vec<SocketAddr> {
+    /// Returns the peer addresses of the hosts that follow `index` in the list.
+    fn seed_addresses(&self, index: usize) -> Vec<SocketAddr> {
         let addresses = self.peer_addresses.read().unwrap_or_else(PoisonError::into_inner);
-        (1..=SEEDS).map(|step| addresses[(index + step) % addresses.len()]).collect()
+        (1..=SEED_NODES).map(|step| addresses[(index + step) % addresses.len()]).collect()
     }
 
     fn node_options(&self, host: &HarnessHost, index: usize, sockets: Sockets) -> NodeOptions {
         let mut settings = node_settings(host, &sockets, self.plan.decisions);
-        settings.seeds = self.seeds(index);
+        settings.seeds = self.seed_addresses(index);
         settings.tokens = self.plan.tokens.clone();
         let listeners = Listeners { entry: sockets.entry.0, peer: sockets.peer.0, admin: sockets.admin.0 };
         let mut options = NodeOptions::new(settings, listeners);
         options.seed = self.plan.seed.wrapping_mul(7_919) + index as u64;
-        options.is_plain = self.plan.is_plain;
-        options.link = Arc::new(HostLink { data_centre: host.data_centre.clone(), cuts: self.cuts.clone() });
-        let flag = self.cuts.platform_flag(&host.data_centre);
-        options.platform = Some(Arc::new(PlatformWay::new(self.platform.clone(), flag, WATCH_WAIT_MS)));
-        if let Some(maker) = &self.plan.chooser {
-            options.chooser = maker(&self.targets);
+        options.is_plain = self.plan.is_baseline;
+        options.link =
+            Arc::new(HostLink { data_centre: host.data_centre.clone(), partitions: self.partitions.clone() });
+        let flag = self.partitions.platform_partition_flag(&host.data_centre);
+        options.platform =
+            Some(Arc::new(PlatformConnection::new(self.platform.clone(), flag, WATCH_WAIT_MS)));
+        if let Some(make_chooser_factory) = &self.plan.chooser {
+            options.chooser = make_chooser_factory(&self.targets);
         }
         options
     }
 }
 
-/// A host's three sockets with their addresses.
+/// The three listening sockets of a host with their addresses.
 #[derive(Debug)]
 pub struct Sockets {
-    /// For callers.
+    /// Accepts calls from callers.
     pub entry: (StdListener, SocketAddr),
-    /// For other nodes.
+    /// Accepts connections from other nodes.
     pub peer: (StdListener, SocketAddr),
-    /// For operators.
+    /// Serves the administration API.
     pub admin: (StdListener, SocketAddr),
 }
 
 impl Sockets {
-    /// Three free ports of loopback.
+    /// Binds three free ports of the loopback interface.
     pub fn bind() -> Self {
         Self { entry: listen(), peer: listen(), admin: listen() }
     }
@@ -394,11 +399,11 @@
     }
 }
 
-/// A value as the TOML that the platform publishes.
+/// Serializes a document to the TOML text that the platform publishes.
 ///
 /// # Panics
 ///
-/// Never for the documents of this system.
+/// Panics if `value` does not serialize to a table.
 pub fn to_toml<T: serde::Serialize>(value: &T) -> String {
-    toml::to_string(value).expect("documents are tables")
+    toml::to_string(value).expect("documents serialize to tables")
 }
--- a/crates/laurelstall_standin/src/harness_plan.rs
+++ b/crates/laurelstall_standin/src/harness_plan.rs
@@ -1,4 +1,4 @@
-//! What a deployment on loopback is made of.
+//! Describes a deployment that runs on the loopback interface.
 
 use crate::target::Targets;
 use laurelstall_config::{
@@ -9,50 +9,50 @@
 use laurelstall_node::services::ChooserFactory;
 use std::{fmt, sync::Arc};
 
-/// One service to start.
+/// A service of the deployment.
 #[derive(Debug, Clone)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// How many targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Slots of each.
+    /// Concurrency slots of each target.
     pub slots: u32,
     /// Mean service time in ms.
     pub service_mean_ms: f64,
-    /// Its limits.
+    /// Limits of the service.
     pub limits: ServiceLimits,
 }
 
-/// What to start.
+/// A deployment to start.
 #[derive(Clone)]
 pub struct HarnessPlan {
-    /// The services.
+    /// Services of the deployment.
     pub services: Vec<ServicePlan>,
-    /// The data centres, over which hosts are spread in turn.
+    /// Data centres; hosts are assigned to them round-robin.
     pub data_centres: Vec<String>,
-    /// One-way time between them in µs, as the configuration says.
+    /// Configured one-way network delay between data centres in µs.
     pub one_way_us: u64,
-    /// Time to open a connection to a target in ms.
+    /// Delay in ms before a target serves an accepted connection.
     pub open_ms: u64,
-    /// The routing program.
+    /// Routing program of the team.
     pub program: String,
-    /// Budget for observing.
+    /// Observation budget of each node.
     pub observe: ObserveLimits,
-    /// Decision log.
+    /// Format of the decision log.
     pub decisions: DecisionFormat,
     /// Tokens of the administration API.
     pub tokens: Vec<TokenSettings>,
-    /// Way to choose, given the true loads; the product's own when absent.
-    pub chooser: Option<ChooserMaker>,
-    /// Whether guards act as behind a plain balancer.
-    pub is_plain: bool,
+    /// Creates the choosers of the nodes; `None` uses Laurelstall's own balancer.
+    pub chooser: Option<MakeChooserFactory>,
+    /// Whether guards act as behind a conventional load balancer, for comparison.
+    pub is_baseline: bool,
     /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// Makes a chooser from the true loads.
-pub type ChooserMaker = Arc<dyn Fn(&Arc<Targets>) -> ChooserFactory + Send + Sync>;
+/// Creates a chooser factory with access to the actual loads of the targets.
+pub type MakeChooserFactory = Arc<dyn Fn(&Arc<Targets>) -> ChooserFactory + Send + Sync>;
 
 impl fmt::Debug for HarnessPlan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -60,16 +60,15 @@
     }
 }
 
-/// Program of stand-in services: `/SERVICE/...`, `GET` may repeat.
+/// Routing program of the stand-in team: routes `/SERVICE/...` to the service and lets `GET` calls be repeated.
 pub const PROGRAM: &str = r#"
 let parts = path.split("/");
 #{ service: parts[1], repeat: method == "GET", tries: 3, budget_ms: 5000 }
 "#;
 
 impl HarnessPlan {
-    /// The deployment called `name`, with `services` of its services.
-    ///
-    /// Its sizes are those of the brief; targets of a service are 4.
+    /// Returns the deployment called `name` with the first `services` of its services and 4 targets per service; `None`
+    /// if the name is unknown.
     pub fn deployment(name: &str, services: usize, service_mean_ms: f64) -> Option<Self> {
         let (names, slots, prefix, one_way_us) = match name {
             "faltgard" => {
@@ -95,16 +94,16 @@
             decisions: DecisionFormat::Human,
             tokens: Vec::new(),
             chooser: None,
-            is_plain: false,
+            is_baseline: false,
             seed: 1,
         })
     }
 
-    /// Calls a second that all targets can do together.
+    /// Returns the calls per second that all targets can serve together.
     pub fn capacity_per_s(&self) -> f64 {
-        let of = |service: &ServicePlan| {
+        let capacity = |service: &ServicePlan| {
             service.targets as f64 * f64::from(service.slots) * 1_000.0 / service.service_mean_ms
         };
-        self.services.iter().map(of).sum()
+        self.services.iter().map(capacity).sum()
     }
 }
--- a/crates/laurelstall_standin/src/lib.rs
+++ b/crates/laurelstall_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what surrounds the system, and the programs that measure it with them.
+//! Stand-ins for the systems around Laurelstall, and programs that measure Laurelstall with them.
 //!
-//! Targets, the platform and callers are small fakes that speak the same HTTP as the real ones;
-//! the nodes between them are the real thing over real sockets.
+//! Targets, the platform and callers are small fakes that speak the same HTTP as the real ones. The nodes between them
+//! are real nodes that communicate over real sockets.
 
 pub mod call_uri;
 pub mod callers;
@@ -22,14 +22,14 @@
 pub mod target;
 pub mod threads;
 
-/// The types most programs need.
+/// Re-exports the most commonly used types.
 pub mod prelude {
     pub use crate::{
         callers::{CallPlan, Callers, Totals},
         harness::Harness,
         harness_plan::HarnessPlan,
         platform::StandinPlatform,
-        records::Records,
+        records::RunRecords,
         target::StandinTarget,
     };
 }
--- a/crates/laurelstall_standin/src/node_thread.rs
+++ b/crates/laurelstall_standin/src/node_thread.rs
@@ -1,4 +1,4 @@
-//! A real node on a thread and runtime of its own, as in a process of its own.
+//! Runs a real node on its own thread and runtime, as if in its own process.
 
 use crate::threads::RuntimeThread;
 use laurelstall_node::{
@@ -21,24 +21,24 @@
     Kill(oneshot::Sender<bool>),
 }
 
-/// A node that runs on a thread.
+/// Handle of a node that runs on a [`RuntimeThread`].
 #[derive(Debug)]
 pub struct NodeThread {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub entry_address: SocketAddr,
-    /// Where other nodes connect.
+    /// Address that other nodes connect to.
     pub peer_address: SocketAddr,
-    /// Where operators connect.
+    /// Address of the administration API.
     pub admin_address: SocketAddr,
-    /// Counts.
+    /// Counters of the node.
     pub counters: Arc<Counters>,
-    /// The spreading of configuration.
+    /// Replication of the configuration between nodes.
     pub spread: Arc<Spread>,
-    /// The configuration in force.
+    /// The configuration that the node uses.
     pub active: Arc<Active>,
-    /// The guard.
+    /// Guard of the target on the node's host.
     pub guard: TargetGuard,
-    /// The entry.
+    /// Entry part of the node, which takes calls from callers.
     pub entry: Arc<Entry>,
     commands: mpsc::UnboundedSender<Command>,
     handle: tokio::runtime::Handle,
@@ -46,16 +46,16 @@
 }
 
 impl NodeThread {
-    /// Starts a node on a thread of its own, or on `shared`.
+    /// Starts a node on `shared`, or on a new thread if `shared` is `None`.
     ///
     /// # Errors
     ///
-    /// What kept the node from starting.
+    /// Returns the error of [`Node::start`].
     pub async fn start(options: NodeOptions, shared: Option<Arc<RuntimeThread>>) -> Result<Self, NodeError> {
         let name = options.settings.node.host.clone();
         let thread = shared.unwrap_or_else(|| Arc::new(RuntimeThread::start(&name)));
-        let (commands, mut received) = mpsc::unbounded_channel();
-        let (tell, told) = oneshot::channel();
+        let (commands, mut command_receiver) = mpsc::unbounded_channel();
+        let (result_sender, result_receiver) = oneshot::channel();
         let handle = thread.handle().clone();
         let inner_commands = commands.clone();
         let inner_thread = thread.clone();
@@ -63,7 +63,7 @@
         handle.spawn(async move {
             let node = match Node::start(options).await {
                 Ok(node) => node,
-                Err(error) => return drop(tell.send(Err(error))),
+                Err(error) => return drop(result_sender.send(Err(error))),
             };
             let this = Self {
                 entry_address: node.entry_address,
@@ -78,46 +78,46 @@
                 handle: inner_handle,
                 _thread: Some(inner_thread),
             };
-            // Whoever started the node may have given up; it then stops with its thread.
-            let _ = tell.send(Ok(this));
-            // Nobody waits for the word of a node whose thread was dropped.
-            match received.recv().await {
-                Some(Command::Stop(done)) => {
-                    let _ = done.send(node.stop().await);
+            // If the receiver is gone, the returned handle is dropped and the node stops with its thread.
+            let _ = result_sender.send(Ok(this));
+            // The channel closes without a command when the handle is dropped.
+            match command_receiver.recv().await {
+                Some(Command::Stop(done_sender)) => {
+                    let _ = done_sender.send(node.stop().await);
                 }
-                Some(Command::Kill(done)) => {
+                Some(Command::Kill(done_sender)) => {
                     node.kill().await;
-                    let _ = done.send(true);
+                    let _ = done_sender.send(true);
                 }
                 None => {}
             }
         });
         drop(thread);
-        told.await.expect("the thread runs until it is dropped")
+        result_receiver.await.expect("the runtime thread lives until the node has started")
     }
 
-    /// The counts of what passed to and from other nodes.
+    /// Returns the meter of the traffic with other nodes.
     pub fn meter(&self) -> &Arc<Meter> {
         self.entry.context.client.pool().meter()
     }
 
-    /// Stops the node as planned; true when nothing was cut off.
+    /// Stops the node gracefully; returns true if no running call was aborted.
     pub async fn stop(&self) -> bool {
-        self.command(Command::Stop).await
+        self.send_command(Command::Stop).await
     }
 
-    /// Kills the node: all its connections break.
+    /// Kills the node, which breaks all its connections.
     pub async fn kill(&self) -> bool {
-        self.command(Command::Kill).await
+        self.send_command(Command::Kill).await
     }
 
-    /// Blocks the node's thread, as when its process is paused.
+    /// Blocks the node's thread for `pause`, which simulates a paused process.
     pub fn pause(&self, pause: Duration) {
         self.handle.spawn(async move { thread::sleep(pause) });
     }
 
-    async fn command(&self, command: impl FnOnce(oneshot::Sender<bool>) -> Command) -> bool {
-        let (done, is_done) = oneshot::channel();
-        self.commands.send(command(done)).is_ok() && is_done.await.unwrap_or(false)
+    async fn send_command(&self, command: impl FnOnce(oneshot::Sender<bool>) -> Command) -> bool {
+        let (done_sender, done_receiver) = oneshot::channel();
+        self.commands.send(command(done_sender)).is_ok() && done_receiver.await.unwrap_or(false)
     }
 }
--- a/crates/laurelstall_standin/src/platform.rs
+++ b/crates/laurelstall_standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's configuration service.
+//! A stand-in for the configuration service of the platform.
 
 use bytes::Bytes;
 use futures_util::future::{BoxFuture, FutureExt};
@@ -27,58 +27,58 @@
     time::{Duration, sleep, timeout},
 };
 
-/// Longest wait of a watch in ms.
-const WAIT_MS_MAX: u64 = 300_000;
+/// Longest time in ms that a watch request may wait.
+const WATCH_WAIT_MAX_MS: u64 = 300_000;
 
 #[derive(Debug, Clone, Default)]
 struct Values {
-    /// How often the platform came back from an older copy.
+    /// Number of restores from an older copy.
     era: u64,
     sequence: u64,
     documents: BTreeMap<String, Document>,
 }
 
-/// What the platform had at some instant.
+/// A copy of all documents that the platform had at some time.
 #[derive(Debug, Clone)]
 pub struct Snapshot(Values);
 
-/// The platform: values with growing versions, which the system can only read.
+/// The stand-in platform, which stores documents under growing version numbers. Nodes only read from it.
 #[derive(Debug)]
 pub struct StandinPlatform {
     values: Mutex<Values>,
-    /// The version that authors gave each document last: they count on, whatever the platform has lost.
-    authored: Mutex<BTreeMap<DocumentName, u64>>,
-    /// What a stale platform shows instead.
+    /// The latest version number that authors gave each document; restores of the platform do not reset it.
+    authored_versions: Mutex<BTreeMap<DocumentName, u64>>,
+    /// Documents that the platform serves instead of the current ones while it is stale.
     stale: Mutex<Option<Values>>,
     sequence: watch::Sender<u64>,
-    is_away: AtomicBool,
-    lag_ms: AtomicU64,
+    is_unavailable: AtomicBool,
+    delay_ms: AtomicU64,
     calls: AtomicU64,
 }
 
 impl StandinPlatform {
-    /// A platform without values.
+    /// Creates a platform without documents.
     pub fn new() -> Arc<Self> {
         let (sequence, _) = watch::channel(0);
         Arc::new(Self {
             values: Mutex::default(),
-            authored: Mutex::default(),
+            authored_versions: Mutex::default(),
             stale: Mutex::default(),
             sequence,
-            is_away: AtomicBool::new(false),
-            lag_ms: AtomicU64::new(0),
+            is_unavailable: AtomicBool::new(false),
+            delay_ms: AtomicU64::new(0),
             calls: AtomicU64::new(0),
         })
     }
 
-    /// Publishes a text under the next version, which is returned.
+    /// Publishes a text under the next version of the document, and returns that version.
     pub fn publish(&self, name: &DocumentName, text: &str) -> Version {
         let (version, sequence) = {
             let mut values = self.values();
             values.sequence += 1;
             let key = name.to_string();
-            let held = values.documents.get(&key).map_or(0, |document| document.version.number);
-            let version = version_of(name, values.era, self.next_number(name, held));
+            let current = values.documents.get(&key).map_or(0, |document| document.version.number);
+            let version = version_of(name, values.era, self.next_number(name, current));
             let document = Document { name: name.clone(), version, text: text.to_owned() };
             values.documents.insert(key, document);
             (version, values.sequence)
@@ -87,20 +87,20 @@
         version
     }
 
-    /// The number of a document's next version: the platform counts the list of hosts itself, from what it holds.
-    fn next_number(&self, name: &DocumentName, held: u64) -> u64 {
+    /// Returns the next version number of a document. The platform itself numbers the host list, from the version `current`.
+    fn next_number(&self, name: &DocumentName, current: u64) -> u64 {
         if *name == DocumentName::Fleet {
-            return held + 1;
+            return current + 1;
         }
-        let mut authored = self.authored.lock().unwrap_or_else(PoisonError::into_inner);
-        let number = authored.entry(name.clone()).or_default();
+        let mut authored_versions = self.authored_versions.lock().unwrap_or_else(PoisonError::into_inner);
+        let number = authored_versions.entry(name.clone()).or_default();
         *number += 1;
         *number
     }
 
-    /// Comes back from an older copy, in the next era: what was published since is lost, and the sequence and the
-    /// versions of the list of hosts are given out again.
-    pub fn return_from(&self, copy: &Snapshot) {
+    /// Restores the platform from an older copy and starts a new era. Documents published since the copy are lost, and
+    /// sequence numbers and versions of the host list are assigned again.
+    pub fn restore(&self, copy: &Snapshot) {
         let sequence = copy.0.sequence;
         {
             let mut values = self.values();
@@ -110,53 +110,53 @@
                 document.version = version_of(&document.name, era, document.version.number);
             }
         }
-        // Watches that wait notice.
+        // Wakes waiting watches.
         self.sequence.send_replace(sequence);
     }
 
-    /// Publishes again what it had when `lost` was taken and has no more, as authors do after it came back from a copy.
-    pub fn publish_again(&self, lost: &Snapshot) {
-        for document in lost.0.documents.values() {
+    /// Publishes the documents of `snapshot` that the platform no longer has, as authors do after a restore.
+    pub fn republish(&self, snapshot: &Snapshot) {
+        for document in snapshot.0.documents.values() {
             if self.text(&document.name).as_ref() != Some(&document.text) {
                 self.publish(&document.name, &document.text);
             }
         }
     }
 
-    /// The text published last.
+    /// Returns the latest published text of a document.
     pub fn text(&self, name: &DocumentName) -> Option<String> {
         self.values().documents.get(&name.to_string()).map(|document| document.text.clone())
     }
 
-    /// Lets the platform show what it has now for as long as it is stale.
+    /// Makes the platform serve its present documents until this is called with `false`.
     pub fn set_stale(&self, is_stale: bool) {
-        let shown = is_stale.then(|| self.values().clone());
-        *self.stale.lock().unwrap_or_else(PoisonError::into_inner) = shown;
+        let visible_values = is_stale.then(|| self.values().clone());
+        *self.stale.lock().unwrap_or_else(PoisonError::into_inner) = visible_values;
     }
 
-    /// What the platform has now, to be [shown](Self::show) again later.
+    /// Copies all documents, for a later [`serve_snapshot`](Self::serve_snapshot) or [`restore`](Self::restore).
     pub fn snapshot(&self) -> Snapshot {
         Snapshot(self.values().clone())
     }
 
-    /// Lets the platform show what it had when `snapshot` was taken.
-    pub fn show(&self, snapshot: Snapshot) {
+    /// Makes the platform serve the documents of `snapshot`, as a stale platform does.
+    pub fn serve_snapshot(&self, snapshot: Snapshot) {
         *self.stale.lock().unwrap_or_else(PoisonError::into_inner) = Some(snapshot.0);
     }
 
-    /// Takes the platform away, or brings it back.
-    pub fn set_away(&self, is_away: bool) {
-        self.is_away.store(is_away, Ordering::Relaxed);
-        // Watches that wait notice.
+    /// Starts or ends an outage of the platform.
+    pub fn set_unavailable(&self, is_unavailable: bool) {
+        self.is_unavailable.store(is_unavailable, Ordering::Relaxed);
+        // Wakes waiting watches.
         self.sequence.send_modify(|_| {});
     }
 
-    /// Lets each answer take so much longer.
-    pub fn set_lag_ms(&self, lag_ms: u64) {
-        self.lag_ms.store(lag_ms, Ordering::Relaxed);
+    /// Delays each answer by `delay_ms`.
+    pub fn set_delay_ms(&self, delay_ms: u64) {
+        self.delay_ms.store(delay_ms, Ordering::Relaxed);
     }
 
-    /// Calls so far, a watch as one.
+    /// Returns the number of requests so far; a watch counts as one.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -165,10 +165,11 @@
     ///
     /// # Panics
     ///
-    /// When the listener cannot be used.
+    /// Panics if the listener cannot be registered with the runtime.
     pub fn serve(self: &Arc<Self>, listener: StdListener) {
-        listener.set_nonblocking(true).expect("the listener is usable");
-        let listener = TcpListener::from_std(listener).expect("the listener is usable");
+        listener.set_nonblocking(true).expect("the listener can be registered with the runtime");
+        let listener =
+            TcpListener::from_std(listener).expect("the listener can be registered with the runtime");
         let this = self.clone();
         tokio::spawn(async move {
             loop {
@@ -176,7 +177,7 @@
                 let this = this.clone();
                 let service = service_fn(move |request| {
                     let this = this.clone();
-                    async move { Ok::<_, Infallible>(this.answer(&request).await) }
+                    async move { Ok::<_, Infallible>(this.handle(&request).await) }
                 });
                 let builder = Builder::new(TokioExecutor::new());
                 let connection = builder.serve_connection(TokioIo::new(stream), service).into_owned();
@@ -185,7 +186,7 @@
         });
     }
 
-    async fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn handle(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         let path = request.uri().path();
         if path == "/v1/values" {
             let query = request.uri().query().unwrap_or_default();
@@ -193,7 +194,7 @@
                 let pair = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
                 pair.and_then(|value| value.parse::<u64>().ok())
             };
-            let wait_ms = number("wait_ms").unwrap_or(0).min(WAIT_MS_MAX);
+            let wait_ms = number("wait_ms").unwrap_or(0).min(WATCH_WAIT_MAX_MS);
             return match self.list(number("after"), number("era"), wait_ms).await {
                 Ok(values) => {
                     let list = values.documents.values();
@@ -203,10 +204,12 @@
                     let text = serde_json::to_vec(&listing).unwrap_or_default();
                     Response::new(Full::new(text.into()))
                 }
-                Err(_) => status(StatusCode::SERVICE_UNAVAILABLE),
+                Err(_) => status_response(StatusCode::SERVICE_UNAVAILABLE),
             };
         }
-        let Some(key) = path.strip_prefix("/v1/values/") else { return status(StatusCode::NOT_FOUND) };
+        let Some(key) = path.strip_prefix("/v1/values/") else {
+            return status_response(StatusCode::NOT_FOUND);
+        };
         match self.read_key(key).await {
             Ok(Some(document)) => {
                 let mut response = Response::new(Full::new(document.text.into()));
@@ -215,53 +218,55 @@
                 headers.insert(ERA_HEADER, HeaderValue::from(document.version.era));
                 response
             }
-            Ok(None) => status(StatusCode::NOT_FOUND),
-            Err(_) => status(StatusCode::SERVICE_UNAVAILABLE),
+            Ok(None) => status_response(StatusCode::NOT_FOUND),
+            Err(_) => status_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 
-    /// What there is, once the sequence has passed `after` or the platform has come back since `era`.
+    /// Returns all documents once the sequence exceeds `after` or the platform has been restored since `era`, or when
+    /// `wait_ms` is over.
     async fn list(
         &self,
         after: Option<u64>,
         era: Option<u64>,
         wait_ms: u64,
     ) -> Result<Values, PlatformError> {
-        self.enter().await?;
+        self.begin_request().await?;
         if let Some(after) = after {
             let mut sequence = self.sequence.subscribe();
-            let has_returned = || era.is_some_and(|era| era != self.values().era);
-            let is_due =
-                |sequence: &u64| *sequence > after || has_returned() || self.is_away.load(Ordering::Relaxed);
-            // A watch that ends without a change answers with what there is.
+            let was_restored = || era.is_some_and(|era| era != self.values().era);
+            let is_due = |sequence: &u64| {
+                *sequence > after || was_restored() || self.is_unavailable.load(Ordering::Relaxed)
+            };
+            // A watch that times out answers with the present documents.
             let _ = timeout(Duration::from_millis(wait_ms), sequence.wait_for(is_due)).await;
-            self.check_away()?;
+            self.check_available()?;
         }
-        Ok(self.shown())
+        Ok(self.visible_values())
     }
 
     async fn read_key(&self, key: &str) -> Result<Option<Document>, PlatformError> {
-        self.enter().await?;
-        Ok(self.shown().documents.get(key).cloned())
+        self.begin_request().await?;
+        Ok(self.visible_values().documents.get(key).cloned())
     }
 
-    async fn enter(&self) -> Result<(), PlatformError> {
+    async fn begin_request(&self) -> Result<(), PlatformError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let lag_ms = self.lag_ms.load(Ordering::Relaxed);
-        if lag_ms > 0 {
-            sleep(Duration::from_millis(lag_ms)).await;
+        let delay_ms = self.delay_ms.load(Ordering::Relaxed);
+        if delay_ms > 0 {
+            sleep(Duration::from_millis(delay_ms)).await;
         }
-        self.check_away()
+        self.check_available()
     }
 
-    fn check_away(&self) -> Result<(), PlatformError> {
-        if self.is_away.load(Ordering::Relaxed) {
-            return Err(PlatformError::Unreachable("the platform is away".to_owned()));
+    fn check_available(&self) -> Result<(), PlatformError> {
+        if self.is_unavailable.load(Ordering::Relaxed) {
+            return Err(PlatformError::Unreachable("the platform is unavailable".to_owned()));
         }
         Ok(())
     }
 
-    fn shown(&self) -> Values {
+    fn visible_values(&self) -> Values {
         let stale = self.stale.lock().unwrap_or_else(PoisonError::into_inner).clone();
         stale.unwrap_or_else(|| self.values().clone())
     }
@@ -271,38 +276,40 @@
     }
 }
 
-/// One host's way to the platform, which can be cut.
+/// Connection of one host to the platform, which a network partition can interrupt.
 #[derive(Debug)]
-pub struct PlatformWay {
+pub struct PlatformConnection {
     platform: Arc<StandinPlatform>,
-    is_cut: Arc<AtomicBool>,
+    is_partitioned: Arc<AtomicBool>,
     watch_wait_ms: u64,
-    /// The era of the last listing.
+    /// Era of the latest listing.
     era: AtomicU64,
 }
 
-impl PlatformWay {
-    /// A way that is cut while `is_cut` is set.
-    pub fn new(platform: Arc<StandinPlatform>, is_cut: Arc<AtomicBool>, watch_wait_ms: u64) -> Self {
-        Self { platform, is_cut, watch_wait_ms, era: AtomicU64::new(0) }
+impl PlatformConnection {
+    /// Creates a connection that fails while `is_partitioned` is set.
+    pub fn new(platform: Arc<StandinPlatform>, is_partitioned: Arc<AtomicBool>, watch_wait_ms: u64) -> Self {
+        Self { platform, is_partitioned, watch_wait_ms, era: AtomicU64::new(0) }
     }
 
-    fn check(&self) -> Result<(), PlatformError> {
-        if self.is_cut.load(Ordering::Relaxed) {
-            return Err(PlatformError::Unreachable("the platform cannot be reached".to_owned()));
+    fn check_partition(&self) -> Result<(), PlatformError> {
+        if self.is_partitioned.load(Ordering::Relaxed) {
+            return Err(PlatformError::Unreachable(
+                "the data centre is partitioned from the platform".to_owned(),
+            ));
         }
         Ok(())
     }
 }
 
-impl PlatformSource for PlatformWay {
+impl PlatformSource for PlatformConnection {
     fn watch(&self, after: Option<u64>) -> BoxFuture<'_, Result<Listing, PlatformError>> {
         async move {
-            self.check()?;
+            self.check_partition()?;
             let era = self.era.load(Ordering::Relaxed);
             let values = self.platform.list(after, Some(era), self.watch_wait_ms).await?;
             self.era.store(values.era, Ordering::Relaxed);
-            self.check()?;
+            self.check_partition()?;
             let versions = values.documents.into_values().map(|d| (d.name, d.version)).collect();
             Ok(Listing { era: values.era, sequence: values.sequence, versions })
         }
@@ -311,15 +318,15 @@
 
     fn read(&self, name: DocumentName) -> BoxFuture<'_, Result<Document, PlatformError>> {
         async move {
-            self.check()?;
+            self.check_partition()?;
             let document = self.platform.read_key(&name.to_string()).await?;
-            document.ok_or_else(|| PlatformError::Unreachable(format!("{name} is not there")))
+            document.ok_or_else(|| PlatformError::Unreachable(format!("the platform has no document {name}")))
         }
         .boxed()
     }
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn status_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/crates/laurelstall_standin/src/process.rs
+++ b/crates/laurelstall_standin/src/process.rs
@@ -1,25 +1,25 @@
-//! What this process spends, as the kernel counts it.
+//! CPU time and memory of this process, read from `/proc`.
 
 use std::fs;
 
-/// Clock ticks a second of the kernel's process times.
+/// Clock ticks per second of the process times in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
-/// Bytes of a page of memory.
+/// Size of a memory page in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
-/// Processor time of this process so far in s.
+/// Returns the CPU time that this process has used, in s.
 pub fn cpu_s() -> f64 {
     stat_cpu_s(&fs::read_to_string("/proc/self/stat").unwrap_or_default())
 }
 
-/// Processor time so far in s of the threads whose name `is_wanted`.
+/// Returns the CPU time, in s, that the threads whose name satisfies `is_wanted` have used.
 pub fn threads_cpu_s(is_wanted: impl Fn(&str) -> bool) -> f64 {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else { return 0.0 };
     let stats = tasks.flatten().filter_map(|task| fs::read_to_string(task.path().join("stat")).ok());
     stats.filter(|stat| is_wanted(thread_name(stat))).map(|stat| stat_cpu_s(&stat)).sum()
 }
 
-/// Memory of this process that is in use now, in bytes.
+/// Returns the resident memory of this process in bytes.
 pub fn memory_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
--- a/crates/laurelstall_standin/src/records.rs
+++ b/crates/laurelstall_standin/src/records.rs
@@ -1,33 +1,33 @@
-//! What targets ran, to hold against what callers were told.
+//! Records of the calls that targets executed, for comparison with the outcomes that callers observed.
 
 use std::{
     collections::HashMap,
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// How often each call, by its key, took effect on any target.
+/// Counts how often each call, identified by its key, ran on any target.
 #[derive(Debug, Default)]
-pub struct Records {
+pub struct RunRecords {
     runs: Mutex<HashMap<String, u32>>,
 }
 
-impl Records {
-    /// Notes that a call took effect.
-    pub fn note_run(&self, key: &str) {
+impl RunRecords {
+    /// Records that a call ran.
+    pub fn record_run(&self, key: &str) {
         *self.lock().entry(key.to_owned()).or_default() += 1;
     }
 
-    /// How often a call took effect.
+    /// Returns how often a call ran.
     pub fn runs(&self, key: &str) -> u32 {
         self.lock().get(key).copied().unwrap_or(0)
     }
 
-    /// Calls that took effect at all.
+    /// Returns the number of distinct calls that ran.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether none did.
+    /// Returns whether no call has run.
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
--- a/crates/laurelstall_standin/src/report.rs
+++ b/crates/laurelstall_standin/src/report.rs
@@ -1,4 +1,4 @@
-//! A page with latency over time and its distribution, a line for each balancer.
+//! Draws latency over time and the latency distribution, with one line per balancer.
 
 use crate::experiment::BalancerResult;
 use plotters::prelude::*;
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 ///
-/// What kept the file from being written.
+/// Returns an error if the drawing cannot be written to the file.
 pub fn draw(file: &Path, title: &str, results: &[(String, BalancerResult)]) -> Result<(), Box<dyn Error>> {
     let root = SVGBackend::new(file, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
--- a/crates/laurelstall_standin/src/scenario.rs
+++ b/crates/laurelstall_standin/src/scenario.rs
@@ -1,68 +1,68 @@
-//! Scenario files: a load and the faults that come over it.
+//! Scenario files, which define a load and the faults to inject.
 
 use crate::{
-    fault::{Fault, fault_of},
+    fault::{Fault, create_fault},
     fault_plan::FaultPlan,
 };
 use laurelstall_config::problem::{Checker, ConfigError};
 use serde::Deserialize;
 
-/// A change of the load during a scenario.
+/// A phase of a scenario with its own load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// From when, in ms.
+    /// Start of the phase in ms.
     pub from_ms: u64,
-    /// Load in percent of what all targets can do.
+    /// Load in percent of the capacity of all targets.
     pub load_percent: u64,
 }
 
-/// Neighbours that steal capacity of each target at random instants.
+/// Noisy neighbours that slow each target down at random times.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Noise {
-    /// Mean time between two thefts at one target in ms.
+pub struct NoisyNeighbours {
+    /// Mean time in ms between two slowdowns of a target.
     pub every_ms: u64,
-    /// Shortest theft in ms.
+    /// Shortest slowdown in ms.
     pub shortest_ms: u64,
-    /// Longest theft in ms.
+    /// Longest slowdown in ms.
     pub longest_ms: u64,
-    /// Least factor by which the target gets slower.
+    /// Smallest factor of a slowdown.
     pub factor_min: f64,
-    /// Largest factor.
+    /// Largest factor of a slowdown.
     pub factor_max: f64,
 }
 
-/// A scenario.
+/// A scenario file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// `faltgard` or `kuantan`.
+    /// Name of the deployment: `faltgard` or `kuantan`.
     pub deployment: String,
-    /// Services that are called.
+    /// Number of services that are called.
     #[serde(default = "services_default")]
     pub services: usize,
     /// Mean service time in ms.
     #[serde(default = "service_mean_ms_default")]
     pub service_mean_ms: f64,
-    /// Length in s.
+    /// Length of the scenario in s.
     pub seconds: u64,
-    /// Load in percent of what all targets can do.
+    /// Load in percent of the capacity of all targets.
     pub load_percent: u64,
-    /// Share of calls that may not be repeated, in percent.
+    /// Share of calls that must not be repeated, in percent.
     #[serde(default = "write_percent_default")]
     pub write_percent: u64,
-    /// Levels of a chain of calls; above 1, each level is a service of its own.
+    /// Number of levels of the call chain; above 1, each level is a separate service.
     #[serde(default = "levels_default")]
     pub levels: usize,
-    /// Changes of the load.
+    /// Phases with a different load, in order of their start.
     #[serde(default, rename = "phase")]
     pub phases: Vec<Phase>,
-    /// Noise at all targets.
-    pub noise: Option<Noise>,
-    /// Faults.
+    /// Noisy neighbours of all targets.
+    pub noise: Option<NoisyNeighbours>,
+    /// Faults to inject.
     #[serde(default, rename = "fault")]
     pub faults: Vec<FaultPlan>,
 }
@@ -83,19 +83,19 @@
     1
 }
 
-/// Deepest chain of calls in a scenario.
+/// Largest number of levels of a call chain.
 pub const LEVELS_MAX: usize = 11;
 
 impl Scenario {
-    /// Reads and checks a scenario.
+    /// Parses and validates a scenario.
     ///
     /// # Errors
     ///
-    /// All faults found in `text`.
+    /// Returns all problems found in `text`.
     pub fn from_text(file: &str, text: &str) -> Result<Self, ConfigError> {
         let mut check = Checker::new(file, text);
         let Some(scenario) = check.parse::<Self>() else {
-            return Err(check.finish().expect_err("parsing noted a problem"));
+            return Err(check.finish().expect_err("a failed parse adds a problem"));
         };
         let is_known = ["faltgard", "kuantan"].contains(&scenario.deployment.as_str());
         check.ensure(is_known, "deployment", "must be faltgard or kuantan");
@@ -113,26 +113,26 @@
         check.finish().map(|()| scenario)
     }
 
-    /// Load in percent at `at_ms`.
+    /// Returns the load in percent at `at_ms`.
     pub fn load_percent_at(&self, at_ms: u64) -> u64 {
-        let begun = self.phases.iter().rfind(|phase| phase.from_ms <= at_ms);
-        begun.map_or(self.load_percent, |phase| phase.load_percent)
+        let current = self.phases.iter().rfind(|phase| phase.from_ms <= at_ms);
+        current.map_or(self.load_percent, |phase| phase.load_percent)
     }
 
-    /// Stretches of constant load: start in ms, length in ms, load in percent.
-    pub fn stretches(&self) -> Vec<(u64, u64, u64)> {
+    /// Returns the intervals of constant load, each with its start in ms, length in ms and load in percent.
+    pub fn load_intervals(&self) -> Vec<(u64, u64, u64)> {
         let end_ms = self.seconds * 1_000;
         let mut starts = vec![0];
         starts
             .extend(self.phases.iter().map(|phase| phase.from_ms).filter(|from| *from > 0 && *from < end_ms));
         let next = |index: usize| starts.get(index + 1).copied().unwrap_or(end_ms);
-        let stretch =
+        let interval =
             |(index, start): (usize, &u64)| (*start, next(index) - start, self.load_percent_at(*start));
-        starts.iter().enumerate().map(stretch).collect()
+        starts.iter().enumerate().map(interval).collect()
     }
 
-    /// The faults as objects.
-    pub fn fault_objects(&self) -> Vec<(FaultPlan, Box<dyn Fault>)> {
-        self.faults.iter().map(|plan| (plan.clone(), fault_of(plan))).collect()
+    /// Creates the faults of the scenario, each with its plan.
+    pub fn create_faults(&self) -> Vec<(FaultPlan, Box<dyn Fault>)> {
+        self.faults.iter().map(|plan| (plan.clone(), create_fault(plan))).collect()
     }
 }
--- a/crates/laurelstall_standin/src/target.rs
+++ b/crates/laurelstall_standin/src/target.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a target: slots, service times, faults, and a record of what it ran.
+//! A stand-in target with concurrency slots, random service times, injectable faults and a record of executed calls.
 
 use crate::{
     call_uri::{CALLER_HOST, uri},
-    records::Records,
+    records::RunRecords,
 };
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Request, Response, StatusCode, header::HOST};
@@ -36,31 +36,31 @@
     time::{Duration, Instant, sleep, sleep_until},
 };
 
-/// Header by which a call is known to callers, targets and their records.
-pub const KEY: HeaderName = HeaderName::from_static("standin-key");
-/// Header that asks for an answer of so many bytes.
-pub const ANSWER_BYTES: HeaderName = HeaderName::from_static("standin-answer-bytes");
-/// Header that asks for no work at all, to measure the way.
-pub const NO_WORK: HeaderName = HeaderName::from_static("standin-no-work");
-/// Header with the services to call on, separated by commas.
-pub const CHAIN: HeaderName = HeaderName::from_static("standin-chain");
-/// Body of an answer to a call without a request body.
+/// Header that identifies a call to callers, targets and run records.
+pub const KEY_HEADER: HeaderName = HeaderName::from_static("standin-key");
+/// Header that requests an answer body of this many bytes.
+pub const ANSWER_BYTES_HEADER: HeaderName = HeaderName::from_static("standin-answer-bytes");
+/// Header that makes the target answer without work, to measure the network path.
+pub const NO_WORK_HEADER: HeaderName = HeaderName::from_static("standin-no-work");
+/// Header with the services to call next, separated by commas.
+pub const CHAIN_HEADER: HeaderName = HeaderName::from_static("standin-chain");
+/// Chunk size of generated answer bodies.
 const ANSWER_CHUNK_BYTES: usize = 16 * 1024;
-/// Mean overshoot of the timer in µs, taken off each wait.
+/// Mean overshoot of the timer in µs, subtracted from each service time.
 const TIMER_OVERSHOOT_US: f64 = 900.0;
 
 type AnswerBody = UnsyncBoxBody<Bytes, Box<dyn Error + Send + Sync>>;
 
-/// How a stand-in target behaves; each can change at any instant.
+/// Behaviour of a stand-in target, which can change at any time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Behaviour {
-    /// Speed: 1 is normal, 0.1 ten times slower, 0 paused.
+    /// Speed relative to normal: 0.1 is ten times slower, 0 is paused.
     pub speed: f64,
-    /// Whether it answers each call at once with an error.
+    /// Whether the target answers each call immediately with an error.
     pub is_failing_fast: bool,
-    /// Whether it sheds each call, marked as such.
+    /// Whether the target sheds each call and marks the response as shed.
     pub is_shedding: bool,
-    /// Whether answers break off after half of their body.
+    /// Whether the target aborts generated answer bodies after half of their length.
     pub is_cutting_answers: bool,
 }
 
@@ -70,18 +70,18 @@
     }
 }
 
-/// What a stand-in target is made of.
+/// Parameters of a stand-in target.
 #[derive(Debug, Clone)]
 pub struct TargetPlan {
-    /// Its name.
+    /// Name of the target.
     pub name: String,
-    /// Requests it runs at once; more wait in its own queue.
+    /// Number of requests that run concurrently; further requests wait in the target's queue.
     pub slots: u32,
     /// Mean service time in ms, exponentially distributed with a floor of a quarter.
     pub service_mean_ms: f64,
-    /// Time to open a connection in ms.
+    /// Delay in ms before an accepted connection is served.
     pub open_ms: u64,
-    /// Seed of its service times.
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
@@ -89,15 +89,15 @@
 #[derive(Debug)]
 pub struct StandinTarget {
     plan: TargetPlan,
-    records: Arc<Records>,
+    records: Arc<RunRecords>,
     behaviour: watch::Sender<Behaviour>,
     slots: Semaphore,
     in_flight: AtomicU32,
-    /// Calls that were sent here by somebody who sees true loads, and did not arrive yet.
-    on_its_way: AtomicU32,
+    /// Number of calls that a balancer with access to actual loads has sent here and that have not arrived yet.
+    pending_arrivals: AtomicU32,
     served: AtomicU64,
-    seen: AtomicU64,
-    made: AtomicU64,
+    requests_received: AtomicU64,
+    calls_made: AtomicU64,
     entry: OnceLock<SocketAddr>,
     client: Client<HttpConnector, Empty<Bytes>>,
     rng: Mutex<SmallRng>,
@@ -109,8 +109,8 @@
     ///
     /// # Panics
     ///
-    /// When the listener cannot be used.
-    pub fn start(plan: TargetPlan, records: Arc<Records>, listener: StdListener) -> Arc<Self> {
+    /// Panics if the listener cannot be registered with the runtime.
+    pub fn start(plan: TargetPlan, records: Arc<RunRecords>, listener: StdListener) -> Arc<Self> {
         let (behaviour, _) = watch::channel(Behaviour::default());
         let (stopping, _) = watch::channel(false);
         let this = Arc::new(Self {
@@ -120,67 +120,69 @@
             records,
             behaviour,
             in_flight: AtomicU32::new(0),
-            on_its_way: AtomicU32::new(0),
+            pending_arrivals: AtomicU32::new(0),
             served: AtomicU64::new(0),
-            seen: AtomicU64::new(0),
-            made: AtomicU64::new(0),
+            requests_received: AtomicU64::new(0),
+            calls_made: AtomicU64::new(0),
             entry: OnceLock::new(),
             client: Client::builder(TokioExecutor::new()).build(HttpConnector::new()),
             stopping,
         });
-        listener.set_nonblocking(true).expect("the listener is usable");
-        let listener = TcpListener::from_std(listener).expect("the listener is usable");
+        listener.set_nonblocking(true).expect("the listener can be registered with the runtime");
+        let listener =
+            TcpListener::from_std(listener).expect("the listener can be registered with the runtime");
         tokio::spawn(this.clone().serve(listener));
         this
     }
 
-    /// Its name.
+    /// Returns the name of the target.
     pub fn name(&self) -> &str {
         &self.plan.name
     }
 
-    /// Changes how it behaves.
-    pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
+    /// Changes the behaviour of the target with `change`.
+    pub fn update_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         self.behaviour.send_modify(change);
     }
 
-    /// Stops it as its platform would: connections end after the answers they owe.
+    /// Stops the target gracefully: connections close after the pending answers.
     pub fn stop(&self) {
         self.stopping.send_replace(true);
     }
 
-    /// Tells it the entry beside it, for calls of its own.
-    pub fn set_entry(&self, entry: SocketAddr) {
-        // A node that is started again on the same addresses changes nothing.
+    /// Sets the address of the entry node on the same host, which the target uses for nested calls.
+    pub fn set_entry_address(&self, entry: SocketAddr) {
+        // Fails after a restart of the node, which keeps its address.
         let _ = self.entry.set(entry);
     }
 
-    /// Requests that reached it.
-    pub fn seen(&self) -> u64 {
-        self.seen.load(Ordering::Relaxed)
+    /// Returns the number of requests that reached the target.
+    pub fn requests_received(&self) -> u64 {
+        self.requests_received.load(Ordering::Relaxed)
     }
 
-    /// Calls it made on.
-    pub fn made(&self) -> u64 {
-        self.made.load(Ordering::Relaxed)
+    /// Returns the number of nested calls that the target made.
+    pub fn calls_made(&self) -> u64 {
+        self.calls_made.load(Ordering::Relaxed)
     }
 
-    /// Calls it has served.
+    /// Returns the number of calls that the target has served.
     pub fn served(&self) -> u64 {
         self.served.load(Ordering::Relaxed)
     }
 
-    /// Expected time of a call that comes now, in µs.
+    /// Returns the expected duration in µs of a call that arrives now.
     pub fn expected_us(&self) -> f64 {
         let behaviour = *self.behaviour.borrow();
         let speed = behaviour.speed.max(0.001);
-        let in_flight = self.in_flight.load(Ordering::Relaxed) + self.on_its_way.load(Ordering::Relaxed);
+        let in_flight =
+            self.in_flight.load(Ordering::Relaxed) + self.pending_arrivals.load(Ordering::Relaxed);
         let in_flight = f64::from(in_flight);
         let slots = f64::from(self.plan.slots);
         let penalty = if behaviour.is_failing_fast || behaviour.is_shedding { 1e9 } else { 0.0 };
-        let waves = (in_flight + 1.0 - slots).max(0.0) / slots;
-        let spread = in_flight / slots * 0.1;
-        self.plan.service_mean_ms * 1_000.0 / speed * (1.0 + waves + spread) + penalty
+        let queue_rounds = (in_flight + 1.0 - slots).max(0.0) / slots;
+        let contention = in_flight / slots * 0.1;
+        self.plan.service_mean_ms * 1_000.0 / speed * (1.0 + queue_rounds + contention) + penalty
     }
 
     async fn serve(self: Arc<Self>, listener: TcpListener) {
@@ -206,7 +208,7 @@
                 if open_ms > 0 {
                     sleep(Duration::from_millis(open_ms)).await;
                 }
-                // Callers that break off are the other side's business.
+                // Connection errors are reported by the client.
                 let _ = connection.await;
             });
         }
@@ -216,56 +218,60 @@
 
     async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         if request.uri().path().starts_with("/standin/") {
-            return self.control(&request);
+            return self.handle_control(&request);
         }
-        self.seen.fetch_add(1, Ordering::Relaxed);
-        let arrive = |on_its_way: u32| on_its_way.checked_sub(1);
-        // Fails when nobody counts calls on their way.
-        let _ = self.on_its_way.fetch_update(Ordering::Relaxed, Ordering::Relaxed, arrive);
+        self.requests_received.fetch_add(1, Ordering::Relaxed);
+        let remove_arrival = |pending_arrivals: u32| pending_arrivals.checked_sub(1);
+        // Fails if the balancer does not count pending calls.
+        let _ = self.pending_arrivals.fetch_update(Ordering::Relaxed, Ordering::Relaxed, remove_arrival);
         let behaviour = *self.behaviour.borrow();
         if behaviour.is_shedding {
-            let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "shed");
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "shed");
             response.headers_mut().insert(SHED_HEADER, HeaderValue::from_static("1"));
             return response;
         }
         if behaviour.is_failing_fast {
-            self.note_run(&request);
-            return text(StatusCode::INTERNAL_SERVER_ERROR, "failed");
+            self.record_run(&request);
+            return text_response(StatusCode::INTERNAL_SERVER_ERROR, "failed");
         }
-        let _running = Running::new(&self.in_flight);
-        if !request.headers().contains_key(NO_WORK) {
+        let _in_flight = InFlightGuard::new(&self.in_flight);
+        if !request.headers().contains_key(NO_WORK_HEADER) {
             let _slot = self.slots.acquire().await;
-            self.note_run(&request);
+            self.record_run(&request);
             self.work().await;
-            if !self.call_on(&request).await {
-                return text(StatusCode::BAD_GATEWAY, "a call further down failed");
+            if !self.call_next_service(&request).await {
+                return text_response(StatusCode::BAD_GATEWAY, "a call further down failed");
             }
         } else {
-            self.note_run(&request);
+            self.record_run(&request);
         }
         self.served.fetch_add(1, Ordering::Relaxed);
-        let is_cut = self.behaviour.borrow().is_cutting_answers;
-        respond(request, is_cut).await
+        let is_cutting = self.behaviour.borrow().is_cutting_answers;
+        respond(request, is_cutting).await
     }
 
-    /// Calls the next service of a chain; false when that failed.
-    async fn call_on(&self, request: &Request<Incoming>) -> bool {
-        let chain = request.headers().get(CHAIN).and_then(|chain| chain.to_str().ok()).unwrap_or_default();
+    /// Calls the next service of the chain; returns false if that call fails.
+    async fn call_next_service(&self, request: &Request<Incoming>) -> bool {
+        let chain =
+            request.headers().get(CHAIN_HEADER).and_then(|chain| chain.to_str().ok()).unwrap_or_default();
         let (next, rest) = chain.split_once(',').unwrap_or((chain, ""));
         let Some(entry) = self.entry.get().filter(|_| !next.is_empty()) else { return true };
         let mut call = Request::new(Empty::new());
         *call.uri_mut() = uri(*entry, next);
         let headers = call.headers_mut();
         headers.insert(HOST, HeaderValue::from_static(CALLER_HOST));
-        for name in [KEY, BUDGET, DEPTH] {
+        for name in [KEY_HEADER, BUDGET, DEPTH] {
             if let Some(value) = request.headers().get(&name) {
                 headers.insert(name, value.clone());
             }
         }
         if !rest.is_empty() {
-            headers.insert(CHAIN, HeaderValue::from_str(rest).expect("names are plain"));
+            headers.insert(
+                CHAIN_HEADER,
+                HeaderValue::from_str(rest).expect("service names are valid header values"),
+            );
         }
-        self.made.fetch_add(1, Ordering::Relaxed);
+        self.calls_made.fetch_add(1, Ordering::Relaxed);
         match self.client.request(call).await {
             Ok(response) if response.status() == StatusCode::OK => {
                 response.into_body().collect().await.is_ok()
@@ -274,44 +280,45 @@
         }
     }
 
-    fn note_run(&self, request: &Request<Incoming>) {
-        let key = request.headers().get(KEY).and_then(|key| key.to_str().ok());
+    fn record_run(&self, request: &Request<Incoming>) {
+        let key = request.headers().get(KEY_HEADER).and_then(|key| key.to_str().ok());
         if let Some(key) = key {
-            self.records.note_run(key);
+            self.records.record_run(key);
         }
     }
 
-    /// Works off one service time at whatever speed there is at each instant.
+    /// Waits for one random service time, adjusted to changes of the speed.
     async fn work(&self) {
-        let mut left_us = self.sample_us();
+        let mut remaining_us = self.sample_service_time_us();
         let mut changes = self.behaviour.subscribe();
-        while left_us > 0.0 {
+        while remaining_us > 0.0 {
             let speed = changes.borrow_and_update().speed;
             let started = Instant::now();
             if speed <= 0.0 {
-                // The sender lives as long as this target does.
+                // Cannot fail: the target owns the sender.
                 let _ = changes.changed().await;
                 continue;
             }
-            let until = started + Duration::from_micros((left_us / speed) as u64);
+            let until = started + Duration::from_micros((remaining_us / speed) as u64);
             tokio::select! {
                 () = sleep_until(until) => return,
-                _ = changes.changed() => left_us -= started.elapsed().as_micros() as f64 * speed,
+                _ = changes.changed() => remaining_us -= started.elapsed().as_micros() as f64 * speed,
             }
         }
     }
 
-    fn sample_us(&self) -> f64 {
+    fn sample_service_time_us(&self) -> f64 {
         let mean_us = self.plan.service_mean_ms * 1_000.0;
         let uniform: f64 = self.rng.lock().unwrap_or_else(PoisonError::into_inner).random();
         let sample = 0.25 * mean_us - 0.75 * mean_us * (1.0 - uniform).ln();
         (sample - TIMER_OVERSHOOT_US).max(0.0)
     }
 
-    /// `POST /standin/set?speed=0.1&failing=1&shedding=0&cutting=0`, for a target run by hand.
-    fn control(&self, request: &Request<Incoming>) -> Response<AnswerBody> {
+    /// Handles `POST /standin/set?speed=0.1&failing=1&shedding=0&cutting=0`, which changes the behaviour of a target that
+    /// runs as its own process.
+    fn handle_control(&self, request: &Request<Incoming>) -> Response<AnswerBody> {
         let query = request.uri().query().unwrap_or_default();
-        self.change(|behaviour| {
+        self.update_behaviour(|behaviour| {
             for (name, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
                 match name {
                     "speed" => behaviour.speed = value.parse().unwrap_or(behaviour.speed),
@@ -323,33 +330,36 @@
             }
         });
         let now = *self.behaviour.borrow();
-        text(StatusCode::OK, &format!("{now:?} served={} recorded={}", self.served(), self.records.len()))
+        text_response(
+            StatusCode::OK,
+            &format!("{now:?} served={} recorded={}", self.served(), self.records.len()),
+        )
     }
 }
 
-struct Running<'a>(&'a AtomicU32);
+struct InFlightGuard<'a>(&'a AtomicU32);
 
-impl<'a> Running<'a> {
+impl<'a> InFlightGuard<'a> {
     fn new(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Answers with the request's own body, or with as many bytes as it asks for.
-async fn respond(request: Request<Incoming>, is_cut: bool) -> Response<AnswerBody> {
-    let key = request.headers().get(KEY).cloned();
+/// Echoes the request body, or sends a generated body of the requested length.
+async fn respond(request: Request<Incoming>, is_cutting: bool) -> Response<AnswerBody> {
+    let key = request.headers().get(KEY_HEADER).cloned();
     let bytes =
-        request.headers().get(ANSWER_BYTES).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
+        request.headers().get(ANSWER_BYTES_HEADER).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
     let mut response = match bytes {
         Some(bytes) => {
-            let end = if is_cut { bytes / 2 } else { bytes };
+            let end = if is_cutting { bytes / 2 } else { bytes };
             let body = PatternBody { sent: 0, end, declared: bytes };
             let mut response = Response::new(body.boxed_unsync());
             response.headers_mut().insert(http::header::CONTENT_LENGTH, HeaderValue::from(bytes));
@@ -358,12 +368,12 @@
         None => Response::new(request.into_body().map_err(Into::into).boxed_unsync()),
     };
     if let Some(key) = key {
-        response.headers_mut().insert(KEY, key);
+        response.headers_mut().insert(KEY_HEADER, key);
     }
     response
 }
 
-/// The byte at `at` of an answer of asked length.
+/// Returns the byte at position `at` of a generated answer body.
 pub fn pattern_byte(at: u64) -> u8 {
     (at % 251) as u8
 }
@@ -383,8 +393,8 @@
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         if self.sent >= self.end {
-            let is_whole = self.end == self.declared;
-            return Poll::Ready(if is_whole { None } else { Some(Err("cut short".into())) });
+            let is_complete = self.end == self.declared;
+            return Poll::Ready(if is_complete { None } else { Some(Err("cut short".into())) });
         }
         let length = (self.end - self.sent).min(ANSWER_CHUNK_BYTES as u64);
         let start = self.sent;
@@ -394,32 +404,32 @@
     }
 }
 
-fn text(status: StatusCode, message: &str) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, message: &str) -> Response<AnswerBody> {
     let body = Full::new(Bytes::from(message.to_owned())).map_err(|never| match never {});
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = status;
     response
 }
 
-/// The targets of one process, with their true loads.
+/// The targets of one process, with access to their actual loads.
 #[derive(Debug, Default)]
 pub struct Targets {
     by_name: RwLock<HashMap<String, Arc<StandinTarget>>>,
 }
 
 impl Targets {
-    /// Adds a target.
+    /// Adds a target under its name.
     pub fn add(&self, target: Arc<StandinTarget>) {
         let mut by_name = self.by_name.write().unwrap_or_else(PoisonError::into_inner);
         by_name.insert(target.name().to_owned(), target);
     }
 
-    /// The target called `name`.
+    /// Returns the target called `name`.
     pub fn get(&self, name: &str) -> Option<Arc<StandinTarget>> {
         self.by_name.read().unwrap_or_else(PoisonError::into_inner).get(name).cloned()
     }
 
-    /// All targets.
+    /// Returns all targets in no particular order.
     pub fn all(&self) -> Vec<Arc<StandinTarget>> {
         self.by_name.read().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
@@ -432,18 +442,18 @@
 
     fn note_chosen(&self, target: &str) {
         if let Some(target) = self.get(target) {
-            target.on_its_way.fetch_add(1, Ordering::Relaxed);
+            target.pending_arrivals.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// Listens on a free port of loopback.
+/// Binds a listener to a free port of the loopback interface.
 ///
 /// # Panics
 ///
-/// When there is none.
+/// Panics if no port is free.
 pub fn listen() -> (StdListener, SocketAddr) {
-    let listener = StdListener::bind("127.0.0.1:0").expect("a free port on loopback");
+    let listener = StdListener::bind("127.0.0.1:0").expect("a loopback port is free");
     let address = listener.local_addr().expect("a bound listener has an address");
     (listener, address)
 }
